--- a/autotests/unit/admissioncontrollertest.cpp
+++ b/autotests/unit/admissioncontrollertest.cpp
@@ -9,7 +9,7 @@
 constexpr Milliseconds ServiceTime{20};
 const RouteName Orders("orders");
 
-// A controller on a clock in memory.
+// A controller with a simulated clock.
 struct Fixture
 {
     Fixture()
@@ -17,25 +17,25 @@
         admission.setSlots(6);
     }
 
-    std::uint32_t enterAll()
+    std::uint32_t admitAll()
     {
-        std::uint32_t entered = 0;
+        std::uint32_t admitted = 0;
         while (admission.tryEnter(now)) {
-            ++entered;
+            ++admitted;
         }
-        return entered;
+        return admitted;
     }
 
-    // All calls that may enter do and are answered after that time.
-    std::uint32_t round(Milliseconds time = ServiceTime)
+    // Admits as many calls as possible, and completes them all after that time.
+    std::uint32_t completeAll(Milliseconds time = ServiceTime)
     {
-        const auto entered = enterAll();
+        const auto admitted = admitAll();
         const auto begin = now;
         now += time;
-        for (std::uint32_t i = 0; i < entered; ++i) {
+        for (std::uint32_t i = 0; i < admitted; ++i) {
             admission.leave(Orders, begin, AdmissionController::End::Answered, now);
         }
-        return entered;
+        return admitted;
     }
 
     AdmissionController admission;
@@ -46,46 +46,46 @@
 
 BOOST_FIXTURE_TEST_SUITE(admission, Fixture)
 
-// A sidecar restarts while its target still runs six calls of the one before.
-// Were all slots open at once, the target would have twice its slots to run
-// and callers would wait. The first round is one call; answers open the rest.
+// A sidecar restarts while its target still executes six calls from before. If all slots were open
+// at once, the target would get twice as many calls as it has slots, and callers would wait. The
+// limit starts at one call and grows with the responses.
 BOOST_AUTO_TEST_CASE(startsWithOneCallAndRampsToTheSlots)
 {
-    BOOST_TEST(round() == 1U);
-    BOOST_TEST(round() == 2U);
-    BOOST_TEST(round() == 4U);
-    BOOST_TEST(round() == 6U);
-    BOOST_TEST(round() == 6U);
+    BOOST_TEST(completeAll() == 1U);
+    BOOST_TEST(completeAll() == 2U);
+    BOOST_TEST(completeAll() == 4U);
+    BOOST_TEST(completeAll() == 6U);
+    BOOST_TEST(completeAll() == 6U);
     admission.restart();
-    BOOST_TEST(round() == 1U);
+    BOOST_TEST(completeAll() == 1U);
 }
 
-// A target freezes with six calls in flight, whose callers time out. If their
-// slots came free at once, six further calls would be lost with each timeout.
-// The slots stay taken for a while, and then one call finds out.
-BOOST_AUTO_TEST_CASE(frozenTargetGetsOneCallAtATime)
+// A target pauses with six calls in flight, which time out. If their slots were freed at once, six
+// further calls would be lost with each timeout. The slots stay held for a while, and then a single
+// call probes the target.
+BOOST_AUTO_TEST_CASE(pausedTargetGetsOneCallAtATime)
 {
     for (int i = 0; i < 5; ++i) {
-        round();
+        completeAll();
     }
     const auto begin = now;
-    BOOST_TEST(enterAll() == 6U);
+    BOOST_TEST(admitAll() == 6U);
     now += Milliseconds(300);
     for (int i = 0; i < 6; ++i) {
         admission.leave(Orders, begin, AdmissionController::End::GivenUp, now);
     }
-    BOOST_TEST(enterAll() == 0U);
+    BOOST_TEST(admitAll() == 0U);
     now = admission.nextRelease();
-    BOOST_TEST(enterAll() == 1U);
+    BOOST_TEST(admitAll() == 1U);
 }
 
-// A route's timeout is shorter than its calls take, so each of them is given
-// up, while the other routes' calls are answered. The target is well: the
-// limit stays, and the slots come free once the target had time to cancel.
+// A route's timeout is shorter than its calls take, so that all of them time out, while calls of
+// other routes succeed. The target is healthy: the limit stays, and the slots are freed once the
+// target had time to cancel the calls.
 BOOST_AUTO_TEST_CASE(routeWithTooShortTimeoutDoesNotLowerTheLimit)
 {
     for (int i = 0; i < 5; ++i) {
-        round();
+        completeAll();
     }
     for (int i = 0; i < 20; ++i) {
         const auto begin = now;
@@ -97,21 +97,21 @@
         now += Milliseconds(30);
     }
     BOOST_TEST(admission.limit() == 6U);
-    BOOST_TEST(enterAll() == 6U);
+    BOOST_TEST(admitAll() == 6U);
 }
 
-// A target can run one call, whatever the configuration and its load endpoint
-// say; more of them just take longer. The limit follows the latency down, and
-// the target's own refusals, but never below one call.
-BOOST_AUTO_TEST_CASE(limitFollowsLatencyAndRefusals)
+// A target can execute one call at a time, whatever the configuration and its load endpoint say;
+// further calls only take longer. The limit follows the latency and the target's rejections down,
+// but never below one call.
+BOOST_AUTO_TEST_CASE(limitFollowsLatencyAndRejections)
 {
     for (int i = 0; i < 5; ++i) {
-        round();
+        completeAll();
     }
     for (int i = 0; i < 50; ++i) {
-        round(ServiceTime * admission.limit());
+        completeAll(ServiceTime * admission.limit());
     }
-    // Three times the fastest is tolerated, so it settles at three to four.
+    // Three times the baseline is tolerated, so the limit settles at three to four.
     BOOST_TEST(admission.limit() <= 4U);
     for (int i = 0; i < 20; ++i) {
         const auto begin = now;
@@ -119,10 +119,10 @@
         now += Milliseconds(500);
         admission.leave(Orders, begin, AdmissionController::End::Shed, now);
     }
-    BOOST_TEST(enterAll() == 1U);
+    BOOST_TEST(admitAll() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(drainingRefusesFromTheMomentItStarts)
+BOOST_AUTO_TEST_CASE(drainingRejectsFromTheMomentItStarts)
 {
     BOOST_TEST(admission.tryEnter(now));
     admission.startDraining();
@@ -130,27 +130,27 @@
     BOOST_TEST(admission.inFlight() == 1U);
 }
 
-// A configuration says a million slots; the cap in the code holds.
+// A configuration sets a million slots; the built-in maximum applies.
 BOOST_AUTO_TEST_CASE(slotsAreCapped)
 {
     admission.setSlots(1000000);
     for (int i = 0; i < 30; ++i) {
-        round();
+        completeAll();
     }
     BOOST_TEST(admission.limit() <= 1024U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// Callers close their connections while their calls run. That says nothing
-// about the target: taken for a stall or a restart it would lower the limit,
-// and a few impatient callers could throttle the service for all others.
-BOOST_FIXTURE_TEST_CASE(CancelledCallsFreeTheirSlotsSoonAndLeaveTheLimit, Fixture)
+// Callers close their connections while their calls run, which says nothing about the target. If
+// it counted as a stall or a restart, it would lower the limit, and a few impatient callers could
+// throttle the service for all others.
+BOOST_FIXTURE_TEST_CASE(cancelledCallsFreeTheirSlotsSoonAndDoNotLowerTheLimit, Fixture)
 {
-    while (round() < 6) { }
-    const auto entered = enterAll();
-    BOOST_TEST(entered == 6U);
-    for (std::uint32_t i = 0; i < entered; ++i) {
+    while (completeAll() < 6) { }
+    const auto admitted = admitAll();
+    BOOST_TEST(admitted == 6U);
+    for (std::uint32_t i = 0; i < admitted; ++i) {
         admission.leave(Orders, now, AdmissionController::End::Cancelled, now);
     }
     BOOST_TEST(!admission.tryEnter(now));
@@ -158,5 +158,5 @@
     now = admission.nextRelease();
     admission.releaseHeld(now);
     BOOST_TEST(admission.inFlight() == 0U);
-    BOOST_TEST(enterAll() == 6U);
+    BOOST_TEST(admitAll() == 6U);
 }
--- a/autotests/unit/attempttimertest.cpp
+++ b/autotests/unit/attempttimertest.cpp
@@ -12,8 +12,8 @@
 
 }
 
-// A target freezes; without a cut the attempt lasts until the call's deadline
-// and no other target can be asked.
+// A target is paused. Without a limit the attempt would last until the call's deadline, and no
+// other target could be tried.
 BOOST_AUTO_TEST_CASE(leavesTimeForAnotherAttempt)
 {
     AttemptTimer timer;
@@ -22,10 +22,10 @@
     BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Now + Milliseconds(150)));
 }
 
-// Calls of the route take 200 of 300 ms. Cut at half, every attempt would be
-// repeated and none answered. The cut ones count too, so even when a route
-// becomes that slow at once, the cut gives way after a few calls.
-BOOST_AUTO_TEST_CASE(doesNotCutRoutesThatNeedTheirTimeout)
+// Calls of the route take 200 of 300 ms. If attempts were cancelled at half of that, all would be
+// retried and none would succeed. Cancelled attempts count in the average too, so that even when a
+// route becomes that slow suddenly, attempts get more time after a few calls.
+BOOST_AUTO_TEST_CASE(doesNotShortenRoutesThatNeedTheirTimeout)
 {
     AttemptTimer timer;
     timer.observed(Board, Milliseconds(20));
--- a/autotests/unit/callqueuetest.cpp
+++ b/autotests/unit/callqueuetest.cpp
@@ -17,11 +17,10 @@
 
 }
 
-// One route sends far more calls than the target can run, and the queue is
-// full of them. A foreman's look at the queue board comes next: without shares
-// it would be refused like the rest. It takes the place of a flooding call
-// and is the next to run, as its route runs nothing.
-BOOST_AUTO_TEST_CASE(floodingRouteLeavesRoomForOthers)
+// One route sends far more calls than the target can execute and fills the queue. A call of
+// another route must not be rejected like the rest: it replaces a queued call of the flooding
+// route, and goes next since its own route has no running call.
+BOOST_AUTO_TEST_CASE(floodingRouteLeavesPlacesForOthers)
 {
     CallQueue queue({});
     for (std::uint64_t i = 0; i < 6; ++i) {
@@ -34,8 +33,8 @@
     BOOST_TEST(queue.size() == 5U);
 }
 
-// A lone route may use the whole queue and all slots.
-BOOST_AUTO_TEST_CASE(sharesLeaveNothingIdle)
+// A single route may use the whole queue and all slots.
+BOOST_AUTO_TEST_CASE(singleRouteMayUseEverything)
 {
     CallQueue queue({});
     for (std::uint64_t i = 0; i < Capacity; ++i) {
@@ -48,7 +47,7 @@
     BOOST_TEST(!queue.pop().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(newestFirstKeepsTheShares)
+BOOST_AUTO_TEST_CASE(newestFirstKeepsTheFairShares)
 {
     CallQueue queue({.newestFirst = true});
     queue.started(Flood);
--- a/autotests/unit/linkscheduletest.cpp
+++ b/autotests/unit/linkscheduletest.cpp
@@ -21,11 +21,10 @@
 
 }
 
-// Officers upload spreadsheets of 60 KB to one target over its link of 7 Mbit/s, eight
-// at once. Let in together they would share the link for half a second, and a
-// small call would wait behind all of them; two at a time come as fast in all, and
-// the eighth is told what it has to wait.
-BOOST_AUTO_TEST_CASE(ABurstOfUploadsWaitsInTurn)
+// Eight spreadsheets of 60 KB are uploaded at once to one target over its link of 7 Mbit/s. Accepted
+// together, they would share the link for half a second, and a small call would wait behind all of
+// them. Two at a time take no longer in total, and the eighth gets its expected wait.
+BOOST_AUTO_TEST_CASE(ABurstOfUploadsIsQueued)
 {
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
@@ -40,8 +39,8 @@
     BOOST_TEST(untilArrival(schedule, now).count() == 548);
 }
 
-// Time passes while bodies come, and the wait of the next one shrinks with it.
-BOOST_AUTO_TEST_CASE(TheWaitShrinksAsBodiesCome)
+// The expected wait of the next body shrinks while the running transfers progress.
+BOOST_AUTO_TEST_CASE(TheWaitShrinksAsTransfersProgress)
 {
     const TimePoint begin(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
@@ -54,9 +53,9 @@
     BOOST_TEST(untilArrival(schedule, begin + Milliseconds(120)).count() == 68);
 }
 
-// An ingress is let in and dies before its body came. The link isn't taken for busy
-// with a body that nobody sends.
-BOOST_AUTO_TEST_CASE(ABodyThatNeverComesLeavesNothingBehind)
+// An ingress is accepted and dies before its body has arrived. The link must not count as busy with
+// a body that nobody sends.
+BOOST_AUTO_TEST_CASE(AnAbandonedTransferFreesTheLink)
 {
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
@@ -67,8 +66,8 @@
     BOOST_TEST(untilArrival(schedule, now + Milliseconds(50)).count() == 68);
 }
 
-// VMs whose speed isn't told, or with fast links, hold no body up.
-BOOST_AUTO_TEST_CASE(AnUnknownLinkHoldsNothingUp)
+// VMs with fast links, or links of unknown speed, delay no body.
+BOOST_AUTO_TEST_CASE(AnUnknownLinkSpeedDelaysNothing)
 {
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule({});
--- a/autotests/unit/routelimitertest.cpp
+++ b/autotests/unit/routelimitertest.cpp
@@ -4,9 +4,9 @@
 
 using namespace Galenahill;
 
-// Every call of one route hangs. It may fill its share of the node, not the
-// room of the others; and the node as a whole has a bound.
-BOOST_AUTO_TEST_CASE(hangingRouteLeavesRoomForOthers)
+// Every call of one route hangs. The route may use up its own limit, not the places of other
+// routes; and the node as a whole has a limit.
+BOOST_AUTO_TEST_CASE(hangingRouteLeavesPlacesForOthers)
 {
     RouteLimiter limiter({.all = 5, .perRoute = 3});
     const RouteName hanging("hanging");
--- a/autotests/unit/servicelevelmetricstest.cpp
+++ b/autotests/unit/servicelevelmetricstest.cpp
@@ -30,9 +30,9 @@
     BOOST_TEST(counts.sum(now + std::chrono::hours(7), std::chrono::hours(6)).calls == 0U);
 }
 
-// Seven hours later the ring's places are used again. Counts of the earlier
-// round that stayed in place would show a burn that is long over.
-BOOST_AUTO_TEST_CASE(ForgetsThePlaceOfAnEarlierRound)
+// Once the longest window has passed, the earlier counts are discarded. If they stayed, they would
+// show a burn that ended long ago.
+BOOST_AUTO_TEST_CASE(DiscardsCountsOlderThanTheLongestWindow)
 {
     SlidingCounts counts;
     counts.add(Start, {.calls = 10, .failed = 10, .slow = 0});
@@ -40,7 +40,7 @@
     BOOST_TEST(counts.sum(Start + SlidingCounts::Longest, SlidingCounts::Longest).failed == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(WorksOutBurnOverNodes)
+BOOST_AUTO_TEST_CASE(SumsBurnRatesOverNodes)
 {
     ServiceLevelMetrics first;
     ServiceLevelMetrics second;
--- a/autotests/unit/servicetimestest.cpp
+++ b/autotests/unit/servicetimestest.cpp
@@ -12,9 +12,9 @@
 
 }
 
-// A whole fleet returns, and its targets haven't answered anything yet. What their
-// routes' objectives say stands in for it, until the first answer.
-BOOST_AUTO_TEST_CASE(TheFirstAnswerReplacesWhatWasSupposed)
+// A whole fleet restarts, and its targets have not responded to any call yet. An estimate from the
+// routes' objectives applies until the first response.
+BOOST_AUTO_TEST_CASE(TheFirstResponseReplacesTheEstimate)
 {
     ServiceTimes times;
     BOOST_TEST(times.usual(Lookup).count() == 0);
@@ -30,18 +30,18 @@
     BOOST_TEST(times.usual().count() == 160000);
 }
 
-// A target turns slow; the usual time follows within some ten calls. The figures
-// are those of a service of 5 ms and of one of 2 s.
-BOOST_AUTO_TEST_CASE(FollowsATargetThatTurnsSlow)
+// A target becomes slow; the average follows within about ten calls. The latencies are those of a
+// service of 5 ms and of one of 2 s.
+BOOST_AUTO_TEST_CASE(FollowsATargetThatBecomesSlow)
 {
-    for (const Microseconds usual : {Microseconds(5000), Microseconds(2000000)}) {
+    for (const Microseconds latency : {Microseconds(5000), Microseconds(2000000)}) {
         ServiceTimes times;
         for (int i = 0; i < 10; ++i) {
-            times.observed(Lookup, usual);
+            times.observed(Lookup, latency);
         }
         for (int i = 0; i < 12; ++i) {
-            times.observed(Lookup, usual * 5);
+            times.observed(Lookup, latency * 5);
         }
-        BOOST_TEST(times.usual(Lookup) > usual * 4);
+        BOOST_TEST(times.usual(Lookup) > latency * 4);
     }
 }
--- a/autotests/unit/targetpickertest.cpp
+++ b/autotests/unit/targetpickertest.cpp
@@ -10,7 +10,7 @@
 
 const ServiceName Service("tablero");
 
-// Four targets, the first of them in the own data centre.
+// Four targets, the first of them in the local data centre.
 struct Fixture
 {
     Fixture()
@@ -50,7 +50,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(picking, Fixture)
 
-BOOST_AUTO_TEST_CASE(staysInTheOwnDataCentreUntilItIsFull)
+BOOST_AUTO_TEST_CASE(staysInTheLocalDataCentreUntilItIsFull)
 {
     BOOST_TEST(pickMany().size() == 1U);
     picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
@@ -59,8 +59,8 @@
     BOOST_TEST(pickMany().count("n0") == 1U);
 }
 
-// All targets say that they are full. A first attempt still goes to the least
-// loaded, whose report may be old; a retry would only be refused again.
+// All targets report that they are full. A first attempt still goes to the least loaded one, whose
+// report may be old; a retry would only be rejected again.
 BOOST_AUTO_TEST_CASE(fullServiceGetsNoRetries)
 {
     for (const auto &target : targets) {
@@ -70,9 +70,8 @@
     BOOST_TEST(picker.pick(targets, {targets[0].name}, now, true) == nullptr);
 }
 
-// Target 0 is frozen: attempts time out. It is passed over, longer each time;
-// one success brings it back wholly.
-BOOST_AUTO_TEST_CASE(failingTargetIsPassedOver)
+// Target 0 is paused and attempts time out. It is ejected, longer each time; one success resets it.
+BOOST_AUTO_TEST_CASE(failingTargetIsEjected)
 {
     fail(0, 2);
     BOOST_TEST(pickMany().count("n0") == 1U);
@@ -89,10 +88,9 @@
     BOOST_TEST(pickMany().count("n0") == 1U);
 }
 
-// The pattern: each target of a service rejects half of its calls for some
-// seconds. Runs of three failures are then common and say nothing of a target;
-// ejected for them, two of four at a time left the rest twice their load. Each
-// goes on getting about a quarter.
+// Each target of a service rejects half of its calls for some seconds. Runs of three failures are
+// then common and say nothing about a target; ejecting targets for them, two of four at a time,
+// would leave the rest with twice their load. Each target must go on getting about a quarter.
 BOOST_AUTO_TEST_CASE(aServiceThatRejectsHalfOfItsCallsKeepsAllTargets)
 {
     for (auto &target : targets) {
@@ -116,9 +114,9 @@
     }
 }
 
-// A fault that all share (a network, one poisonous call) makes three of four
-// targets fail. With all three passed over, the last one would get four times
-// its load and fail as well, so none is.
+// A shared fault (the network, or a call that breaks every target) makes three of four targets
+// fail. If all three stayed ejected, the last one would get four times its load and fail as well,
+// so none is.
 BOOST_AUTO_TEST_CASE(neverEjectsMostOfAService)
 {
     fail(1, 3);
@@ -130,9 +128,9 @@
     BOOST_TEST(pickMany().size() == 3U);
 }
 
-// A leaving target says so with a limit of zero; it is used only if there is
-// nothing else, though it runs less than the others, which are all full.
-BOOST_AUTO_TEST_CASE(leavingTargetIsLastResort)
+// A draining target reports a limit of zero; it is used only if there is nothing else, although it
+// executes fewer calls than the others, which are all full.
+BOOST_AUTO_TEST_CASE(drainingTargetIsLastResort)
 {
     for (const auto &target : targets) {
         picker.reported(target.name, {.calls = 9, .limit = 6}, now);
@@ -143,9 +141,8 @@
     BOOST_TEST(picker.pick({targets[0]}, {targets[0].name}, now) == nullptr);
 }
 
-// A data centre of a larger fleet has several targets of a service, all idle. If
-// the choice of where to wait always fell on the first of equals, every node
-// would send its calls to that one until it is full, and be refused there.
+// A service has several idle targets in a data centre. If the choice of where to queue always fell
+// on the first of equals, every node would send its calls there until it is full and rejects them.
 BOOST_AUTO_TEST_CASE(EqualWaitsAreSpreadOverTheTargets)
 {
     for (auto &target : targets) {
@@ -162,8 +159,7 @@
     }
 }
 
-// A shorter wait goes before an equal share, and another data centre counts as
-// a longer wait.
+// A shorter wait goes before an equal distribution, and a remote data centre counts as a longer wait.
 BOOST_AUTO_TEST_CASE(TheShortestWaitIsChosen)
 {
     for (const auto &target : targets) {
@@ -176,9 +172,9 @@
     BOOST_TEST(picker.selectForQueueing(targets, {}, now)->name == targets[0].name);
 }
 
-// Guards against a full data centre that keeps its calls because some target of
-// it always counts as free: what was said of its wait has grown old.
-BOOST_AUTO_TEST_CASE(AnOldReportCountsAsThePeersOfTheTarget)
+// Guards against a full data centre that keeps its calls because one of its targets always counts
+// as free, since the report of its wait has expired.
+BOOST_AUTO_TEST_CASE(AnExpiredReportIsReplacedByThePoolsWait)
 {
     for (auto &target : targets) {
         target.service = Service;
@@ -193,7 +189,7 @@
     BOOST_TEST(picker.selectForQueueing(targets, {}, now + Milliseconds(2))->dataCentre == targets[0].dataCentre);
 }
 
-BOOST_AUTO_TEST_CASE(OverflowGoesOnlyToDataCentresThatAreKnownToHaveRoom)
+BOOST_AUTO_TEST_CASE(OverflowGoesOnlyToDataCentresWithFreeSlots)
 {
     for (auto &target : targets) {
         target.service = Service;
@@ -208,8 +204,8 @@
     BOOST_TEST(picker.pickOverflow(targets, {}, now + Milliseconds(4000)) == nullptr);
 }
 
-// A late report must not replace the load that a later answer carried.
-BOOST_AUTO_TEST_CASE(ALateReportDoesntReplaceALaterAnswer)
+// A late report must not replace the load from a later response.
+BOOST_AUTO_TEST_CASE(ALateReportDoesNotReplaceALaterResponse)
 {
     picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
     picker.loadObserved(targets[0].name, {.calls = 0, .limit = 6}, Milliseconds(0), now - Milliseconds(100));
--- a/autotests/unit/trafficsplittest.cpp
+++ b/autotests/unit/trafficsplittest.cpp
@@ -27,9 +27,9 @@
 
 }
 
-// A share of one in ten is seen in any ten calls, not only in the long run: a
-// node gets some seven calls a second of a route, and the shares are looked at
-// over windows of a few hundred calls of the whole fleet.
+// A share of one in ten shows in any ten calls, not only in the long run: a node gets about seven
+// calls a second of a route, and the shares are observed over windows of a few hundred calls of the
+// whole fleet.
 BOOST_AUTO_TEST_CASE(KeepsTheSharesFromTheFirstCalls)
 {
     TrafficSplit split;
@@ -40,8 +40,7 @@
     }
 }
 
-// The operator turns the weights around. What one part was behind under the old
-// weights must not count under the new ones.
+// The operator swaps the weights. Arrears from the old weights must not count under the new ones.
 BOOST_AUTO_TEST_CASE(FollowsNewWeightsAtOnce)
 {
     TrafficSplit split;
--- a/autotests/unit/urgencyguardtest.cpp
+++ b/autotests/unit/urgencyguardtest.cpp
@@ -25,17 +25,17 @@
     UrgencyGuard guard{{.seed = 7}};
     TimePoint now{std::chrono::seconds(1)};
 
-    // A second of submissions, of which so many of ten are refused.
-    void submissions(int refusedOfTen)
+    // A second of submissions, of which that many of ten are rejected.
+    void submissions(int rejectedOfTen)
     {
         for (int i = 0; i < 20; ++i) {
             now += Milliseconds(50);
-            guard.ended(submit, Submissions, i % 10 < refusedOfTen, now);
+            guard.ended(submit, Submissions, i % 10 < rejectedOfTen, now);
         }
     }
 
-    // Share of a thousand calls of the route that give way.
-    double givingWay(const RouteDefinition &calls)
+    // Fraction of a thousand calls of the route that the guard sheds.
+    double shedFraction(const RouteDefinition &calls)
     {
         int count = 0;
         for (int i = 0; i < 1000; ++i) {
@@ -47,53 +47,52 @@
 
 }
 
-// Each lookup's run asks the submissions service twice, and calls of running calls go
-// first there. Two of three submission targets are left: without the guard all
-// lookups were served, and 8 of 10 budget submissions refused.
-BOOST_FIXTURE_TEST_CASE(LookupsGiveWayToSubmissionsThatTheyCrowdOut, Fixture)
+// Each lookup calls the submissions service twice, and nested calls go first there. Two of three
+// submission targets are left: without the guard all lookups were served, and 8 of 10 budget
+// submissions were rejected.
+BOOST_FIXTURE_TEST_CASE(LookupsAreShedInFavourOfSubmissions, Fixture)
 {
     guard.learn(lookup.name, {Submissions});
     submissions(8);
     submissions(8);
-    BOOST_TEST(givingWay(lookup) > 0.65);
-    BOOST_TEST(givingWay(lookup) < 0.85);
+    BOOST_TEST(shedFraction(lookup) > 0.65);
+    BOOST_TEST(shedFraction(lookup) < 0.85);
     // Never the other way round.
     guard.learn(submit.name, {Rates});
     for (int i = 0; i < 20; ++i) {
         guard.ended(lookup, Rates, true, now);
     }
-    BOOST_TEST(givingWay(submit) == 0);
+    BOOST_TEST(shedFraction(submit) == 0);
 }
 
-// Nothing is refused before it is known that the runs lead there, nor for a service to
-// which they don't.
-BOOST_FIXTURE_TEST_CASE(OnlyRoutesThatLeadToTheServiceGiveWay, Fixture)
+// Nothing is shed before the guard knows that the route calls the service, nor for a service that
+// it does not call.
+BOOST_FIXTURE_TEST_CASE(OnlyRoutesThatCallTheServiceAreShed, Fixture)
 {
     submissions(8);
-    BOOST_TEST(givingWay(lookup) == 0);
+    BOOST_TEST(shedFraction(lookup) == 0);
     guard.learn(lookup.name, {ServiceName("archive")});
-    BOOST_TEST(givingWay(lookup) == 0);
+    BOOST_TEST(shedFraction(lookup) == 0);
 }
 
-// Lookups that are refused as often for want of slots of their own don't give way on
-// top of it.
-BOOST_FIXTURE_TEST_CASE(WhatIsRefusedAnywayCounts, Fixture)
+// Lookups that are rejected as often for lack of slots of their own are not shed in addition.
+BOOST_FIXTURE_TEST_CASE(OtherRejectionsCount, Fixture)
 {
     guard.learn(lookup.name, {Submissions});
     submissions(4);
     for (int i = 0; i < 50; ++i) {
         guard.ended(lookup, Rates, i % 2 == 0, now);
     }
-    BOOST_TEST(givingWay(lookup) == 0);
+    BOOST_TEST(shedFraction(lookup) == 0);
 }
 
-// The targets return; seconds later nothing gives way any more.
-BOOST_FIXTURE_TEST_CASE(ForgetsWithinSeconds, Fixture)
+// The targets return; seconds later nothing is shed any more.
+BOOST_FIXTURE_TEST_CASE(StopsSheddingWithinSeconds, Fixture)
 {
     guard.learn(lookup.name, {Submissions});
     submissions(9);
     for (int second = 0; second < 6; ++second) {
         submissions(0);
     }
-    BOOST_TEST(givingWay(lookup) == 0);
+    BOOST_TEST(shedFraction(lookup) == 0);
 }
--- a/autotests/unit/urgentcallqueuetest.cpp
+++ b/autotests/unit/urgentcallqueuetest.cpp
@@ -1,6 +1,6 @@
-// Overload at one target: more calls arrive than its slots can run. The figures
-// are those of the users' dues mesh: 9 slots, calls of 60 to 150 ms, one slot
-// free each 8 ms, objectives of 150 to 400 ms.
+// Overload of one target: more calls arrive than its slots can execute. The figures are those of a
+// mesh that collects dues: 9 slots, calls of 60 to 150 ms, a slot freed every 8 ms, objectives of
+// 150 to 400 ms.
 
 #include "core/calls/callqueue.h"
 
@@ -33,10 +33,10 @@
 
 }
 
-// Lookups wait in line when a payment comes, and then the ledger check that a
-// running lookup makes. The check goes first: refused or late, it would waste
-// the 60 ms that the lookup has already run. The payment outranks the lookups.
-BOOST_AUTO_TEST_CASE(CallsOfRunningCallsGoFirst)
+// Lookups are queued when a payment arrives, and then the nested ledger check of a running lookup.
+// The check goes first: rejected or late, it would waste the 60 ms that the lookup has already run.
+// The payment has a higher priority than the lookups.
+BOOST_AUTO_TEST_CASE(NestedCallsGoFirst)
 {
     CallQueue queue({.byUrgency = true});
     queue.push(ticket(1), Lookup, Capacity, lookup(100));
@@ -48,9 +48,9 @@
     BOOST_TEST(queue.pop(Now)->value() == 1U);
 }
 
-// A call could not start in time, since the target was slow for a moment. The
-// slot that comes free goes to one that can still be in time; before it, the
-// late one would make the next late as well, and so on down the line.
+// A call could not start in time because the target was slow for a moment. The freed slot goes to
+// a call that can still be in time; otherwise the late one would make the next call late as well,
+// and so on through the queue.
 BOOST_AUTO_TEST_CASE(LateCallsGoBehindThoseInTime)
 {
     CallQueue queue({.byUrgency = true});
@@ -60,26 +60,25 @@
     BOOST_TEST(queue.pop(Now)->value() == 1U);
 }
 
-// Ten lookups wait that must start within 50 ms, while a slot comes free each
-// 8 ms: six of them can. The others learn at once that they must go elsewhere,
-// not after the 50 ms, when nobody else could answer them in time either.
-BOOST_AUTO_TEST_CASE(HopelessCallsAreFoundAtOnce)
+// Ten queued lookups must start within 50 to 59 ms, while a slot is freed every 8 ms: only seven of
+// them can. The others are rejected at once so that they can go to another target, and not after
+// that time, when no target could meet their objective any more.
+BOOST_AUTO_TEST_CASE(UnschedulableCallsAreRejectedAtOnce)
 {
     CallQueue queue({.byUrgency = true});
     for (std::uint64_t i = 0; i < 10; ++i) {
         queue.push(ticket(i), Lookup, Capacity, lookup(50 + static_cast<int>(i)));
     }
-    int hopeless = 0;
+    int unschedulable = 0;
     while (queue.takeHopeless(Now, Interval)) {
-        ++hopeless;
+        ++unschedulable;
     }
-    BOOST_TEST(hopeless == 3);
+    BOOST_TEST(unschedulable == 3);
     BOOST_TEST(queue.size() == 7U);
 }
 
-// The line is full. The call that gives way is the least urgent one, which may
-// be the one that has just come.
-BOOST_AUTO_TEST_CASE(TheLeastUrgentGivesWay)
+// The queue is full. The least urgent call is rejected, which may be the new one.
+BOOST_AUTO_TEST_CASE(TheLeastUrgentIsRejected)
 {
     CallQueue queue({.byUrgency = true});
     queue.push(ticket(1), Payment, 2, payment(10));
--- a/src/core/calls/admissioncontroller.cpp
+++ b/src/core/calls/admissioncontroller.cpp
@@ -10,26 +10,26 @@
 
 using Microseconds = std::chrono::microseconds;
 
-// A call slower than this many times its route's baseline, by more than the
-// tolerance, says that the target runs more calls than it can.
+// A latency above the route's baseline by this factor and this tolerance means that the target
+// executes more calls at a time than it can.
 constexpr int SlowFactor = 3;
 constexpr Microseconds SlowTolerance{5000};
 
 constexpr double SlowReduction = 0.9;
-constexpr double ShedReduction = 0.7;
+constexpr double RejectReduction = 0.7;
 constexpr double StallReduction = 0.5;
 
-// The baseline forgets a lucky fast call by one thousandth a call.
+// The baseline rises by a thousandth per call, so that a single fast call does not fix it for ever.
 constexpr int BaselineDecay = 1000;
-constexpr int TypicalWeight = 8;
+constexpr int AverageWeight = 8;
 
-// Time that the slot of a given-up call stays taken. The target is told by
-// the closed connection, and frees the slot soon if it still answers others;
-// one that answers nobody may need longer.
-constexpr Milliseconds CancelTime{20};
+// How long the slot of a timed-out or cancelled call stays taken. The closed connection tells the
+// target to cancel the call, which frees the slot soon if the target still responds to other
+// calls; one that responds to none may need longer.
+constexpr Milliseconds CancelHold{20};
 constexpr Milliseconds StallHold{1000};
 
-// Routes whose latency is kept; a configuration may have many more.
+// Most routes whose latency is kept; a configuration may have many more.
 constexpr std::size_t MaxBaselines = 256;
 
 }
@@ -50,7 +50,7 @@
     m_limit = 1;
     m_ramping = true;
     m_baselines.clear();
-    m_typical = Microseconds(0);
+    m_averageLatency = Microseconds(0);
 }
 
 void AdmissionController::startDraining()
@@ -86,25 +86,25 @@
     return true;
 }
 
-void AdmissionController::leave(const RouteName &route, TimePoint entered, End end, TimePoint now)
+void AdmissionController::leave(const RouteName &route, TimePoint acquiredAt, End reason, TimePoint now)
 {
-    if (end == End::GivenUp) {
-        givenUp(entered, now);
+    if (reason == End::GivenUp) {
+        recordTimeout(acquiredAt, now);
         return;
     }
-    if (end == End::Cancelled) {
-        hold(now + CancelTime);
+    if (reason == End::Cancelled) {
+        holdSlot(now + CancelHold);
         return;
     }
     --m_inFlight;
-    switch (end) {
+    switch (reason) {
     case End::Answered:
-        m_lastAnswer = now;
-        answered(route, std::chrono::duration_cast<Microseconds>(now - entered), now);
+        m_lastResponse = now;
+        recordLatency(route, std::chrono::duration_cast<Microseconds>(now - acquiredAt), now);
         break;
     case End::Shed:
-        m_lastAnswer = now;
-        reduce(ShedReduction, now);
+        m_lastResponse = now;
+        reduceLimit(RejectReduction, now);
         break;
     case End::Broken:
         m_limit = 1;
@@ -117,55 +117,54 @@
     }
 }
 
-void AdmissionController::givenUp(TimePoint entered, TimePoint now)
+void AdmissionController::recordTimeout(TimePoint acquiredAt, TimePoint now)
 {
-    // Counting the slot as free at once would send a frozen target a new set
-    // of calls with every timeout, and overfill one that is slow to cancel. A
-    // target that answered anybody since the call began isn't stalled: a
-    // route with too short a timeout doesn't lower the limit for the others.
-    const bool stalled = m_lastAnswer <= entered;
-    hold(now + (stalled ? StallHold : CancelTime));
+    // Freeing the slot at once would send a paused target a full set of new calls with every timeout,
+    // and overload one that is slow to cancel. A target that responded to any call since this one
+    // began is not stalled: a route with too short a timeout does not lower the limit for the others.
+    const bool stalled = m_lastResponse <= acquiredAt;
+    holdSlot(now + (stalled ? StallHold : CancelHold));
     if (stalled) {
         m_ramping = false;
         m_limit = std::max(1.0, m_limit * StallReduction);
     }
 }
 
-void AdmissionController::hold(TimePoint until)
+void AdmissionController::holdSlot(TimePoint until)
 {
-    m_held.insert(std::upper_bound(m_held.begin(), m_held.end(), until), until);
+    m_heldUntil.insert(std::upper_bound(m_heldUntil.begin(), m_heldUntil.end(), until), until);
 }
 
-void AdmissionController::answered(const RouteName &route, Microseconds latency, TimePoint now)
+void AdmissionController::recordLatency(const RouteName &route, Microseconds latency, TimePoint now)
 {
-    m_typical = m_typical.count() == 0 ? latency : m_typical + (latency - m_typical) / TypicalWeight;
+    m_averageLatency = m_averageLatency.count() == 0 ? latency : m_averageLatency + (latency - m_averageLatency) / AverageWeight;
     if (m_baselines.size() >= MaxBaselines && m_baselines.count(route) == 0) {
         m_baselines.clear();
     }
     auto &baseline = m_baselines.try_emplace(route, latency).first->second;
     baseline = std::min(latency, baseline + baseline / BaselineDecay + Microseconds(1));
     if (latency > baseline * SlowFactor + SlowTolerance) {
-        reduce(SlowReduction, now);
+        reduceLimit(SlowReduction, now);
         return;
     }
     m_limit = std::min(std::max(1.0, static_cast<double>(m_slots)), m_limit + (m_ramping ? 1 : 1 / m_limit));
 }
 
-void AdmissionController::reduce(double factor, TimePoint now)
+void AdmissionController::reduceLimit(double factor, TimePoint now)
 {
-    // The calls in flight all show the same overload; it counts once.
-    if (now - m_lastReduction < m_typical) {
+    // All calls in flight show the same overload; it counts once.
+    if (now - m_lastReduced < m_averageLatency) {
         return;
     }
-    m_lastReduction = now;
+    m_lastReduced = now;
     m_ramping = false;
     m_limit = std::max(1.0, m_limit * factor);
 }
 
 void AdmissionController::releaseHeld(TimePoint now)
 {
-    while (!m_held.empty() && m_held.front() <= now) {
-        m_held.pop_front();
+    while (!m_heldUntil.empty() && m_heldUntil.front() <= now) {
+        m_heldUntil.pop_front();
         --m_inFlight;
     }
 }
@@ -177,7 +176,7 @@
 
 TimePoint AdmissionController::nextRelease() const
 {
-    return m_held.empty() ? TimePoint::max() : m_held.front();
+    return m_heldUntil.empty() ? TimePoint::max() : m_heldUntil.front();
 }
 
 Microseconds AdmissionController::fastest() const
@@ -188,7 +187,7 @@
 
 Microseconds AdmissionController::typical() const
 {
-    return m_typical;
+    return m_averageLatency;
 }
 
 }
--- a/src/core/calls/admissioncontroller.h
+++ b/src/core/calls/admissioncontroller.h
@@ -9,84 +9,84 @@
 
 namespace Galenahill {
 
-// Bounds the calls that a sidecar lets its target run at a time: at most the
-// target's slots, fewer while its latency says that it can't run so many.
+// Limits the concurrent calls that a sidecar sends to its target: at most the target's slots,
+// fewer while its latency shows that it cannot execute so many at a time.
 class AdmissionController
 {
 public:
-    // How a call left the target.
+    // Why a call releases its slot.
     enum class End {
-        // A whole answer came.
+        // The target sent a complete response.
         Answered,
-        // The target answered that it has no room.
+        // The target rejected the call because it is overloaded.
         Shed,
-        // The call was given up before an answer; the target may still run it.
+        // The deadline passed without a response; the target may still execute the call.
         GivenUp,
-        // The caller closed its connection; says nothing about the target,
-        // which may need a moment to stop running the call.
+        // The caller closed its connection. Says nothing about the target's load, but the target may
+        // need a moment to stop executing the call.
         Cancelled,
-        // The connection broke before an answer, as when the target restarts.
+        // The connection broke before a response, for instance because the target restarted.
         Broken,
-        // The call didn't reach the target.
+        // The call did not reach the target.
         NotSent,
     };
 
     explicit AdmissionController(CallPolicy policy = {});
 
-    // Slots of the target; calls in flight beyond a lowered number finish.
+    // Sets the target's number of slots. Calls in flight beyond a lowered number finish.
     void setSlots(std::uint32_t slots);
 
-    // The target, or this process, has just started: begins with one call at
-    // a time. A restarted sidecar doesn't know what its target still runs;
-    // with all slots at once it would put up to twice the slots on it.
+    // Starts again with one call at a time, after a start of the target or of this process. A
+    // restarted sidecar does not know which calls its target still executes: with all slots open at
+    // once, the target would get up to twice as many calls as it has slots.
     void restart();
 
-    // Refuses every further call from now on.
+    // Rejects every further call from now on.
     void startDraining();
     bool draining() const;
 
-    // Takes a slot; false if none is free or the target is leaving.
+    // Takes a slot; false if none is free or the target is draining.
     bool tryEnter(TimePoint now);
-    void leave(const RouteName &route, TimePoint entered, End end, TimePoint now);
+    void leave(const RouteName &route, TimePoint acquiredAt, End reason, TimePoint now);
 
-    // Frees the slots of given-up calls whose time has come.
+    // Frees the slots of timed-out and cancelled calls whose hold time is over.
     void releaseHeld(TimePoint now);
 
-    // Calls in flight, with given-up ones whose slots are still held.
+    // Calls in flight, including timed-out and cancelled ones whose slots are still held.
     std::uint32_t inFlight() const;
     std::uint32_t limit() const;
 
-    // Calls that may wait: one for each that may run. While the limit ramps
-    // up, as many as there are slots: it grows with each answer, so they get
-    // their slots about as fast.
+    // Number of calls that may be queued: as many as may run at a time. While the limit ramps up, it
+    // is the number of slots, since the limit grows with each response and queued calls get their
+    // slots about as fast.
     std::uint32_t queueCapacity() const;
 
-    // When the next held slot comes free, or the end of time if none is held.
+    // When the next held slot is freed, or the end of time if none is held.
     TimePoint nextRelease() const;
 
-    // The usual time of the fastest route's calls; zero while none is known.
+    // The lowest baseline latency of all routes; zero while none is known.
     std::chrono::microseconds fastest() const;
-    // The time that calls take of late, over all routes.
+    // The moving average of the latency of all calls.
     std::chrono::microseconds typical() const;
 
 private:
-    void answered(const RouteName &route, std::chrono::microseconds latency, TimePoint now);
-    void givenUp(TimePoint entered, TimePoint now);
-    void hold(TimePoint until);
-    void reduce(double factor, TimePoint now);
+    void recordLatency(const RouteName &route, std::chrono::microseconds latency, TimePoint now);
+    void recordTimeout(TimePoint acquiredAt, TimePoint now);
+    void holdSlot(TimePoint until);
+    void reduceLimit(double factor, TimePoint now);
     CallPolicy m_policy;
     std::uint32_t m_slots = 0;
     std::uint32_t m_inFlight = 0;
     double m_limit = 1;
     bool m_ramping = true;
     bool m_draining = false;
-    TimePoint m_lastAnswer;
-    TimePoint m_lastReduction;
-    // When the slots of given-up calls come free, in order.
-    std::deque<TimePoint> m_held;
+    TimePoint m_lastResponse;
+    TimePoint m_lastReduced;
+    // When the slots of timed-out and cancelled calls are freed, in ascending order.
+    std::deque<TimePoint> m_heldUntil;
     // Lowest recent latency by route.
     std::unordered_map<RouteName, std::chrono::microseconds> m_baselines;
-    std::chrono::microseconds m_typical{0};
+    std::chrono::microseconds m_averageLatency{0};
 };
 
 }
--- a/src/core/calls/answerverdict.cpp
+++ b/src/core/calls/answerverdict.cpp
@@ -13,14 +13,14 @@
 
 }
 
-AnswerVerdict judgeAnswer(const CallDialect &dialect, const AnswerFacts &facts)
+AnswerVerdict judgeAnswer(const CallDialect &headerNames, const AnswerFacts &facts)
 {
-    if (!dialect.notExecuted.empty() && (facts.saysNotExecuted || facts.status == Misdirected)) {
+    if (!headerNames.notExecuted.empty() && (facts.saysNotExecuted || facts.status == Misdirected)) {
         return AnswerVerdict::NotExecuted;
     }
-    if (!dialect.answerProof.empty()) {
-        // A faulty target sends bytes that parse as an answer. Passed on, the
-        // caller would take them for the result of its call.
+    if (!headerNames.answerProof.empty()) {
+        // A faulty target, or another process at its address, may send bytes that parse as a response;
+        // the caller would take them for the result of its call.
         const bool falseSuccess = isSuccess(facts.status) && (!facts.hasProof || facts.hasEncoding);
         if (falseSuccess) {
             return AnswerVerdict::Spoiled;
--- a/src/core/calls/answerverdict.h
+++ b/src/core/calls/answerverdict.h
@@ -4,30 +4,30 @@
 
 namespace Galenahill {
 
-// What a target's answer says about the call.
+// What a target's response says about the call.
 enum class AnswerVerdict {
-    // It ran, and this is its whole answer, success or not.
+    // The target executed the call, and this is its complete response, successful or not.
     Answered,
-    // The target says that it didn't run the call.
+    // The target states that it did not execute the call.
     NotExecuted,
-    // The target failed while or after it ran the call.
+    // The target failed while or after it executed the call.
     Failed,
-    // Not the target's answer; the call may have run.
+    // The target did not produce this response; the call may have been executed.
     Spoiled,
 };
 
-// The parts of an answer that tell.
+// The parts of a response that decide the verdict.
 struct AnswerFacts
 {
     unsigned status = 0;
     bool hasProof = false;
     bool saysNotExecuted = false;
-    // The body was changed on the way, since callers ask for none such.
+    // The response has a content encoding. Callers accept none, so something altered the body on the way.
     bool hasEncoding = false;
 };
 
-// Judges a whole answer. Without a field for proof in the dialect, every
-// answer counts as the target's own.
-AnswerVerdict judgeAnswer(const CallDialect &dialect, const AnswerFacts &facts);
+// Classifies a complete response. If the header names define no origin marker, every response
+// counts as the target's own.
+AnswerVerdict judgeAnswer(const CallDialect &headerNames, const AnswerFacts &facts);
 
 }
--- a/src/core/calls/attempttimer.h
+++ b/src/core/calls/attempttimer.h
@@ -6,22 +6,20 @@
 
 namespace Galenahill {
 
-// Decides how long one attempt of a call that may be repeated is waited for.
-// Waiting for the whole timeout would leave no time to ask another target,
-// and the caller of a frozen one would get nothing.
+// Chooses how long to wait for one attempt of a call that may be retried. Waiting for the whole
+// timeout would leave no time to try another target, so the caller of a paused one would get nothing.
 class AttemptTimer
 {
 public:
-    // An attempt was answered, or given up, after that time.
+    // An attempt got a response, or was cancelled, after that time.
     void observed(const RouteName &route, std::chrono::microseconds time);
 
-    // Half of the time left, but not less than a multiple of what calls of
-    // the route take: a route whose calls need most of their timeout would
-    // else have every attempt cut and repeated.
+    // Half of the remaining time, but at least a multiple of the route's average latency: on a route
+    // whose calls need most of their timeout, every attempt would otherwise be cancelled and retried.
     TimePoint attemptDeadline(const RouteName &route, TimePoint now, TimePoint deadline) const;
 
 private:
-    std::unordered_map<RouteName, std::chrono::microseconds> m_usual;
+    std::unordered_map<RouteName, std::chrono::microseconds> m_averages;
 };
 
 }
--- a/src/core/calls/burnreport.h
+++ b/src/core/calls/burnreport.h
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-// The burn of one route's objectives, summed over nodes.
+// Burn rates of one route's objectives, summed over nodes.
 struct RouteBurn
 {
     double sloAvailability = 0;
@@ -19,16 +19,15 @@
     double latencyBurn(std::size_t window) const;
 };
 
-// Service-level burn of the fleet, from the reports of single nodes.
+// Burn rates of the whole fleet, from the reports of single nodes.
 class BurnReport
 {
 public:
-    // Counts a node's report in. Objectives are those of the last node
-    // counted; during a change nodes may differ for seconds.
+    // Adds a node's report. The objectives are those of the node added last; while a new
+    // configuration spreads, nodes may differ for seconds.
     void add(const std::vector<RouteReport> &reports);
 
-    // Notes a member that gave no report, so that readers see what is
-    // missing.
+    // Records a member that sent no report, so that readers see that the sums are incomplete.
     void addMissing(const NodeName &node);
 
     const std::map<RouteName, RouteBurn> &routes() const;
--- a/src/core/calls/calldialect.h
+++ b/src/core/calls/calldialect.h
@@ -8,36 +8,36 @@
 
 namespace Galenahill {
 
-// Names of the header fields that callers and targets exchange with a node.
-// The defaults are the product's own; the adapter of a platform fills in what
-// its callers and targets use. An empty name means that there is no such field.
+// Names of the header fields that callers and targets exchange with a node. The defaults are the
+// project's own; the adapter of a platform sets those that its callers and targets use. An empty
+// name means that there is no such field.
 struct CallDialect
 {
-    // The caller's own id of a call. Passed on unchanged; the target repeats it
-    // in its answer, so that an answer which belongs to another call is known.
+    // The caller's own id of a call. Passed on unchanged; the target repeats it in its response, so
+    // that a response to another call is detected.
     std::string requestId;
 
-    // The id of the call for which a target makes the call of that id; empty if
-    // the id names none. Null: ids don't tell.
+    // Maps the id of a nested call to the id of its parent call, for which a target makes it; empty
+    // if there is none. Null if ids do not carry this.
     std::function<std::string_view(std::string_view id)> parentOf;
 
-    // Milliseconds that the caller still waits, and that the target may take.
+    // Milliseconds for which the caller still waits, and which the target may take.
     std::string timeLeft = CallHeaders::TimeoutMs;
 
-    // Id of the target that a call is meant for; any other must not run it.
+    // Id of the target that a call is meant for; any other target must not execute it.
     std::string expectedTarget;
 
-    // Service of the VM on which the call began.
+    // Service of the VM on which the call originated.
     std::string callerService;
 
-    // Stands on each answer that a target gave of its own. A success without
-    // it is not an answer, whatever its status says.
+    // Marks each response that the target itself produced. A success without it is not trusted,
+    // whatever its status code.
     std::string answerProof;
 
-    // Stands on an answer by which a target says that it didn't run the call.
+    // Marks a response by which a target states that it did not execute the call.
     std::string notExecuted;
 
-    // Id of the target that answered.
+    // Id of the target that responded.
     std::string targetId;
 };
 
--- a/src/core/calls/calledservices.h
+++ b/src/core/calls/calledservices.h
@@ -7,15 +7,15 @@
 
 namespace Galenahill {
 
-// The services that runs of each route call. Bounded, since they travel in a field
-// of an answer.
+// The services that targets call while they execute calls of each route. Bounded, since the list
+// travels in a response header.
 class CalledServices
 {
 public:
-    // A run of a call of the route has made a call to the service.
+    // A target that executes a call of the route has called the service.
     void add(const RouteName &route, const ServiceName &service);
 
-    // The services known for the route, or null if there is none.
+    // The services known for the route, or null if there are none.
     const std::vector<ServiceName> *of(const RouteName &route) const;
 
 private:
--- a/src/core/calls/callpolicy.h
+++ b/src/core/calls/callpolicy.h
@@ -4,35 +4,34 @@
 
 namespace Galenahill {
 
-// Which decisions a node takes about calls. Operators have no way to change
-// them; the benchmarks switch one off at a time to measure what it is worth.
+// Features of the routing and admission of calls. Operators cannot change them; the benchmarks
+// switch one off at a time to measure its effect.
 struct CallPolicy
 {
-    // The less loaded of two targets by what sidecars report; else the next
-    // target in turn.
+    // Picks the less loaded of two targets, by the load that sidecars report; otherwise round-robin.
     bool leastLoaded = true;
-    // The sidecar bounds the calls that its target runs.
+    // The sidecar limits the concurrent calls of its target.
     bool admission = true;
-    // The bound follows the target's latency and starts low; else it is the
-    // number of slots from the first call on.
+    // The concurrency limit starts low and follows the target's latency; otherwise it is the number
+    // of slots from the first call on.
     bool adaptive = true;
-    // Calls wait a short while for a slot; else they are refused at once.
+    // Calls queue for a slot for a short time; otherwise they are rejected at once.
     bool queue = true;
-    // The call that waited least goes first; else the one that waited longest.
+    // The queue is last in, first out; otherwise first in, first out.
     bool newestFirst = false;
-    // Targets that fail in a row are ejected.
+    // Targets with consecutive failures are ejected.
     bool ejection = true;
-    // Retries stay within the budget and leave time for the next attempt; else
-    // each failed attempt is repeated whatever the load.
+    // Retries stay within the budget and leave time for the next attempt; otherwise each failed
+    // attempt is retried regardless of load.
     bool retryBudget = true;
-    // A full queue keeps room for routes that use less than their share.
+    // A full queue keeps places for routes that use less than their fair share.
     bool fairShares = true;
-    // Waiting calls go by priority and by the time at which they must start to
-    // be answered within their objective, and wait only while they can be.
+    // Queued calls are ordered by priority, then by the latest time at which they can start and still
+    // meet their objective, and wait only as long as they can meet it.
     bool byUrgency = false;
 
-    // The policy with the named decisions reversed, such as
-    // "round-robin,no-queue"; unknown names are left out.
+    // The default policy with the named features toggled, such as "round-robin,no-queue"; unknown
+    // names are ignored.
     static CallPolicy withoutDecisions(const std::string &names);
 };
 
--- a/src/core/calls/callqueue.cpp
+++ b/src/core/calls/callqueue.cpp
@@ -18,25 +18,25 @@
     }
     if (m_options.byUrgency) {
         const auto least = std::max_element(m_waiting.begin(), m_waiting.end(), [](const auto &a, const auto &b) { return a.urgency < b.urgency; });
-        const auto refused = least->ticket;
+        const auto rejected = least->ticket;
         m_waiting.erase(least);
-        return refused;
+        return rejected;
     }
-    // The newest call of the route with the most waiting goes, so that those
-    // who have waited longest keep their place.
-    auto loser = std::prev(m_waiting.end());
+    // The newest call of the route with the most queued calls is rejected, so that those that have
+    // waited longest keep their place.
+    auto dropped = std::prev(m_waiting.end());
     if (m_options.fairShares) {
         for (auto candidate = m_waiting.begin(); candidate != m_waiting.end(); ++candidate) {
-            if (waiting(candidate->route) > waiting(loser->route)) {
-                loser = candidate;
+            if (waiting(candidate->route) > waiting(dropped->route)) {
+                dropped = candidate;
             }
         }
-        const auto crowded = loser->route;
-        loser = std::prev(std::find_if(m_waiting.rbegin(), m_waiting.rend(), [&](const auto &item) { return item.route == crowded; }).base());
+        const auto longestRoute = dropped->route;
+        dropped = std::prev(std::find_if(m_waiting.rbegin(), m_waiting.rend(), [&](const auto &item) { return item.route == longestRoute; }).base());
     }
-    const auto refused = loser->ticket;
-    m_waiting.erase(loser);
-    return refused;
+    const auto rejected = dropped->ticket;
+    m_waiting.erase(dropped);
+    return rejected;
 }
 
 std::optional<QueueTicket> CallQueue::pop(TimePoint now)
@@ -60,9 +60,8 @@
     return ticket;
 }
 
-// A call that is late already goes behind those that can still be in time:
-// before them it would make one after the other late, and none would be served
-// as its caller wants.
+// A call that is late already goes behind those that can still be in time: ahead of them, it would
+// make one after the other late, and none would meet its objective.
 std::list<CallQueue::Waiting>::iterator CallQueue::mostUrgent(TimePoint now)
 {
     const auto rank = [now](const Waiting &call) { return std::tuple(call.urgency.startBy < now, call.urgency); };
@@ -75,12 +74,12 @@
         std::count_if(m_waiting.begin(), m_waiting.end(), [&](const auto &call) { return !m_options.byUrgency || !(urgency < call.urgency); }));
 }
 
-// More urgent calls that came later have gone ahead of it. Kept until its time
-// is over it would only learn late that it has to go elsewhere.
+// More urgent calls that came later have overtaken it. If it stayed queued until its latest start,
+// it would learn too late that it has to go to another target.
 std::optional<QueueTicket> CallQueue::takeHopeless(TimePoint now, std::chrono::microseconds interval)
 {
     for (auto call = m_waiting.begin(); m_options.byUrgency && call != m_waiting.end(); ++call) {
-        // `ahead` counts the call itself, which takes a slot as well.
+        // The count includes the call itself, which needs a slot as well.
         if (now + interval * ahead(call->urgency) > call->urgency.startBy) {
             const auto ticket = call->ticket;
             m_waiting.erase(call);
--- a/src/core/calls/callqueue.h
+++ b/src/core/calls/callqueue.h
@@ -9,28 +9,27 @@
 
 namespace Galenahill {
 
-// Names a waiting call.
+// Identifies a queued call.
 using QueueTicket = StrongType<std::uint64_t, struct QueueTicketTag>;
 
-// How urgent a waiting call is.
+// Sort key of a queued call; the lowest goes first.
 struct CallUrgency
 {
-    // Whether a call that is running elsewhere waits for it; such go first.
+    // False for a nested call, whose parent call is running and waits for it; such calls go first.
     bool forNewWork = true;
-    // Rank of the call with which its chain of calls began; zero goes first.
+    // Priority of the call at the root of the call tree; zero goes first.
     std::uint32_t priority = 0;
-    // When it should have got its slot to be answered in time.
+    // The latest time to get a slot and still be answered within the objective.
     TimePoint startBy = TimePoint::max();
 
     friend auto operator<=>(const CallUrgency &, const CallUrgency &) = default;
 };
 
-// Calls that wait for a slot of the target. By default shared fairly between
-// routes: the next call is of the route that runs the fewest, and when the
-// queue is full the route with the most waiting is shed from. So a route that
-// floods the target fills only what the others leave. By urgency: the next
-// call is the most urgent that can still be in time, and the least urgent
-// is refused.
+// Calls that wait for a slot of the target. By default the queue is shared fairly between routes:
+// the next call comes from the route with the fewest running calls, and a full queue drops a call
+// of the route with the most queued. So a route that floods the target uses only what the others
+// leave. Ordered by urgency instead, the next call is the most urgent one that can still meet its
+// objective, and a full queue drops the least urgent one.
 class CallQueue
 {
 public:
@@ -43,24 +42,24 @@
 
     explicit CallQueue(Options options);
 
-    // Adds a call and gives the one that must be refused for it, which may be
-    // the call itself; nothing if there was room.
+    // Adds a call and returns the one to reject in exchange, which may be the new call itself;
+    // nothing if the queue was not full.
     std::optional<QueueTicket> push(QueueTicket ticket, const RouteName &route, std::size_t capacity, CallUrgency urgency = {});
 
-    // Takes the next call out, or nothing if none waits.
+    // Removes and returns the next call; nothing if the queue is empty.
     std::optional<QueueTicket> pop(TimePoint now = TimePoint());
 
-    // How many waiting calls would go before one of that urgency.
+    // Number of queued calls that go before, or have, that urgency; all of them unless ordered by urgency.
     std::size_t ahead(const CallUrgency &urgency) const;
 
-    // Takes out a call that won't get its slot by its time, if one slot comes
-    // free in each interval; nothing if there is none. By urgency only.
+    // Removes and returns a call that cannot get a slot by its latest start if one slot is freed per
+    // interval; nothing if there is none. Only if ordered by urgency.
     std::optional<QueueTicket> takeHopeless(TimePoint now, std::chrono::microseconds interval);
 
     void remove(QueueTicket ticket);
     std::size_t size() const;
 
-    // A call of the route took a slot or left it.
+    // A call of the route took or released a slot.
     void started(const RouteName &route);
     void ended(const RouteName &route);
 
--- a/src/core/calls/latencyhistogram.h
+++ b/src/core/calls/latencyhistogram.h
@@ -7,19 +7,19 @@
 
 namespace Galenahill {
 
-// Counts of latencies in fixed steps, in constant memory.
+// Histogram of latencies with fixed buckets, in constant memory.
 class LatencyHistogram
 {
 public:
-    // Upper bounds of the steps in milliseconds; a last one takes the rest.
+    // Upper bounds of the buckets in milliseconds; one more bucket holds all above.
     static constexpr std::array<std::uint32_t, 12> Bounds = {1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000};
 
     void add(std::chrono::microseconds latency);
 
     std::uint64_t count() const;
 
-    // Lines of the Prometheus text format for the metric of that name, with the
-    // label as given, such as stage="line".
+    // Lines of the Prometheus text format for the named metric, with the label as given, such as
+    // stage="line".
     std::string text(const std::string &name, const std::string &label) const;
 
 private:
--- a/src/core/calls/lateoffers.cpp
+++ b/src/core/calls/lateoffers.cpp
@@ -12,9 +12,9 @@
     if (expectedEnd <= objective) {
         return false;
     }
-    const bool trialDue = m_lastTrial == TimePoint() || now - m_lastTrial >= m_options.trialInterval;
-    if (trialDue) {
-        m_lastTrial = now;
+    const bool probeDue = m_lastProbe == TimePoint() || now - m_lastProbe >= m_options.trialInterval;
+    if (probeDue) {
+        m_lastProbe = now;
         return false;
     }
     return true;
--- a/src/core/calls/linkschedule.cpp
+++ b/src/core/calls/linkschedule.cpp
@@ -11,10 +11,10 @@
 
 bool LinkSchedule::free() const
 {
-    return m_options.bytesPerSecond == 0 || m_underWay < m_options.transfers;
+    return m_options.bytesPerSecond == 0 || m_activeTransfers < m_options.transfers;
 }
 
-Clock::duration LinkSchedule::timeFor(std::uint64_t bytes) const
+Clock::duration LinkSchedule::transferTime(std::uint64_t bytes) const
 {
     if (m_options.bytesPerSecond == 0) {
         return Clock::duration(0);
@@ -25,7 +25,7 @@
 
 TimePoint LinkSchedule::arrival(std::uint64_t bytes, TimePoint now) const
 {
-    return std::max(now, m_busyUntil) + timeFor(m_waitingBytes + bytes);
+    return std::max(now, m_busyUntil) + transferTime(m_waitingBytes + bytes);
 }
 
 void LinkSchedule::wait(std::uint64_t bytes)
@@ -40,15 +40,14 @@
 
 void LinkSchedule::begin(std::uint64_t bytes, TimePoint now)
 {
-    ++m_underWay;
-    m_busyUntil = std::max(now, m_busyUntil) + timeFor(bytes);
+    ++m_activeTransfers;
+    m_busyUntil = std::max(now, m_busyUntil) + transferTime(bytes);
 }
 
-// A body that was given up, or came sooner than expected, leaves nothing behind once
-// it was the last.
+// If the last transfer ends early or is abandoned, its remaining expected time is dropped.
 void LinkSchedule::end(TimePoint now)
 {
-    if (--m_underWay == 0) {
+    if (--m_activeTransfers == 0) {
         m_busyUntil = now;
     }
 }
--- a/src/core/calls/loadreport.h
+++ b/src/core/calls/loadreport.h
@@ -7,19 +7,19 @@
 
 namespace Galenahill {
 
-// Load of one target as its sidecar saw it.
+// Load of one target as its sidecar measured it.
 struct TargetReport
 {
     NodeName target;
-    // Incarnation of the member beside the target.
+    // Incarnation of the member on the target's VM.
     std::uint64_t incarnation = 0;
-    // Calls that the target runs and its sidecar holds.
+    // Calls that the target executes and that its sidecar queues.
     std::uint32_t calls = 0;
-    // Calls that it may run at a time; zero if it takes none.
+    // Calls that it may execute at a time; zero if it accepts none.
     std::uint32_t limit = 0;
-    // Wait of a further call for a slot, in milliseconds.
+    // Expected wait of a further call for a slot, in milliseconds.
     std::uint32_t waitMs = 0;
-    // Time since the sidecar saw it, in milliseconds.
+    // Time since the sidecar measured it, in milliseconds.
     std::uint32_t ageMs = 0;
 };
 
@@ -30,12 +30,12 @@
     ServiceName service;
     std::uint32_t calls = 0;
     std::uint32_t limit = 0;
-    // Mean wait for a slot over the targets, in milliseconds.
+    // Mean expected wait for a slot over the targets, in milliseconds.
     std::uint32_t waitMs = 0;
     std::uint32_t ageMs = 0;
 };
 
-// What one node tells another of the load of targets.
+// Load of targets as one node sends it to another.
 struct LoadReport
 {
     std::vector<TargetReport> targets;
--- a/src/core/calls/offerorder.h
+++ b/src/core/calls/offerorder.h
@@ -13,31 +13,31 @@
     bool mayWait = false;
 };
 
-// Sidecars that one call was offered to without waiting, and those at which it
-// waited for a slot or was refused that.
+// Sidecars that one call was offered to without waiting, and those at which it was queued or
+// denied a place in the queue.
 struct OfferHistory
 {
     std::vector<NodeName> asked;
     std::vector<NodeName> waitedAt;
-    // Sidecars of other data centres that were offered a call for which the own
-    // data centre had no room.
+    // Sidecars of remote data centres that were offered a call for which the local data centre had
+    // no free slot.
     std::vector<NodeName> overflowedTo;
 };
 
 struct OfferTerms
 {
     DataCentre dataCentre;
-    // Goes before every other target; may be null.
+    // Offered the call before every other target; may be null.
     const MemberRecord *first = nullptr;
-    // Whether the call is offered to other data centres before it is known what
-    // it would wait there. Costly for large bodies.
+    // Whether the call may be offered without waiting to remote data centres before it waits anywhere.
+    // Expensive for large bodies.
     bool crossesUnasked = true;
 };
 
-// The next sidecar to offer a call to, or none if it has been offered enough.
-// Targets with a short expected wait come first. The call is offered there without
-// waiting while a slot seems free, then waits at the shortest line, and at last goes
-// to data centres that are known to have room.
+// The next sidecar to offer a call to, or none if it has been offered often enough. Targets with a
+// short expected wait come first. The call is offered without waiting while a slot seems free,
+// then it waits where the expected wait is shortest, and at last it overflows to remote data
+// centres that are known to have free slots.
 Choice nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferTerms &terms, TimePoint now);
 
 }
--- a/src/core/calls/refusalshare.cpp
+++ b/src/core/calls/refusalshare.cpp
@@ -6,32 +6,32 @@
 
 namespace {
 
-// Time after which a call counts e times less. A node of a fleet of a hundred sees
-// some three calls of a route a second; in two seconds that tells a share from
-// none, and follows a service that loses or gains targets.
-constexpr double MemorySeconds = 2;
+// Time in which the weight of a call decays by the factor e. A node in a fleet of a hundred sees
+// about three calls of a route per second; two seconds suffice to detect that calls are rejected,
+// and follow a service that loses or gains targets.
+constexpr double DecaySeconds = 2;
 
-// Calls, by their weight, below which their share says nothing.
-constexpr double LeastCalls = 3;
+// Total weight of calls below which their fraction means nothing.
+constexpr double MinWeight = 3;
 
 }
 
-double RefusalShare::fading(TimePoint now) const
+double RefusalShare::decay(TimePoint now) const
 {
-    return std::exp(-std::chrono::duration<double>(now - m_at).count() / MemorySeconds);
+    return std::exp(-std::chrono::duration<double>(now - m_lastAdded).count() / DecaySeconds);
 }
 
-void RefusalShare::add(bool refused, TimePoint now)
+void RefusalShare::add(bool rejected, TimePoint now)
 {
-    const auto faded = m_at == TimePoint() ? 0 : fading(now);
-    m_calls = m_calls * faded + 1;
-    m_refused = m_refused * faded + (refused ? 1 : 0);
-    m_at = now;
+    const auto decayed = m_lastAdded == TimePoint() ? 0 : decay(now);
+    m_calls = m_calls * decayed + 1;
+    m_rejected = m_rejected * decayed + (rejected ? 1 : 0);
+    m_lastAdded = now;
 }
 
 double RefusalShare::value(TimePoint now) const
 {
-    return m_at == TimePoint() || m_calls * fading(now) < LeastCalls ? 0 : m_refused / m_calls;
+    return m_lastAdded == TimePoint() || m_calls * decay(now) < MinWeight ? 0 : m_rejected / m_calls;
 }
 
 }
--- a/src/core/calls/refusalshare.h
+++ b/src/core/calls/refusalshare.h
@@ -4,21 +4,21 @@
 
 namespace Galenahill {
 
-// Share of calls that were refused of late; older ones count less and less.
+// Fraction of calls that were rejected recently; the weight of a call decays with its age.
 class RefusalShare
 {
 public:
-    void add(bool refused, TimePoint now);
+    void add(bool rejected, TimePoint now);
 
-    // Zero while too few calls are known to tell.
+    // Zero while too few calls are known for a meaningful fraction.
     double value(TimePoint now) const;
 
 private:
-    double fading(TimePoint now) const;
+    double decay(TimePoint now) const;
 
     double m_calls = 0;
-    double m_refused = 0;
-    TimePoint m_at;
+    double m_rejected = 0;
+    TimePoint m_lastAdded;
 };
 
 }
--- a/src/core/calls/retrybudget.h
+++ b/src/core/calls/retrybudget.h
@@ -4,43 +4,43 @@
 
 namespace Galenahill {
 
-// Bounds retries to a share of the calls, so that retries can't multiply the
-// load on a service that is already failing.
+// Limits retries to a fraction of the calls, so that retries cannot multiply the load on a service
+// that is already failing.
 class RetryBudget
 {
 public:
     struct Options
     {
-        // Retries earned by one call.
+        // Tokens that one call adds; a retry takes one token.
         double perCall = 0.1;
-        // Retries saved up at the most; also the number at start.
+        // Most tokens that can be accumulated; also the number at start.
         double most = 20;
     };
 
     explicit RetryBudget(Options options);
 
-    // Changes the bounds; what is saved up is kept within them.
+    // Changes the limits; accumulated tokens are kept up to the new maximum.
     void setOptions(Options options);
 
     // A first attempt was made.
     void callMade();
 
-    // Whether a retry is left.
+    // Whether a token is left for a retry.
     bool hasOne() const;
 
-    // Takes one retry; false if none is left.
+    // Takes a token; false if none is left.
     bool tryTake();
 
-    // A repeat was made that nobody could keep back. What it takes beyond what is left
-    // is missing for the next ones.
+    // Charges a retry that cannot be held back: a nested call that its parent, itself retried, makes
+    // again. The balance may become negative, which delays later retries.
     void spend();
 
-    // The retry that was taken wasn't made.
+    // Returns the token of a retry that was not made.
     void giveBack();
 
 private:
     Options m_options;
-    double m_left = 0;
+    double m_tokens = 0;
 };
 
 }
--- a/src/core/calls/returntime.cpp
+++ b/src/core/calls/returntime.cpp
@@ -6,16 +6,15 @@
 
 namespace {
 
-// Shortest time to come back after: several slots come free meanwhile, and a caller
-// can still be answered within its objective.
-constexpr Milliseconds Shortest{40};
+// Minimum delay: several slots are freed meanwhile, and the caller can still meet its objective.
+constexpr Milliseconds MinDelay{40};
 
-// Share of the time left that a caller is asked to wait at the most. Callers
-// honour up to a third; beyond it they come back unasked.
-constexpr int LongestShare = 3;
+// At most one third of the caller's remaining time: callers honour no longer delay and retry
+// earlier on their own.
+constexpr int MaxWaitDivisor = 3;
 
-// The return is spread over this many times the wait.
-constexpr double Spread = 0.5;
+// The jitter adds up to this fraction of the wait.
+constexpr double Jitter = 0.5;
 
 }
 
@@ -24,12 +23,12 @@
 {
 }
 
-Milliseconds ReturnTime::after(Milliseconds toldWait, Milliseconds timeLeft)
+Milliseconds ReturnTime::after(Milliseconds reportedWait, Milliseconds timeLeft)
 {
-    const auto base = static_cast<double>(std::max(toldWait, Shortest).count());
-    const auto spread = std::uniform_real_distribution<double>(1.0, 1.0 + Spread)(m_random);
-    const Milliseconds wanted(static_cast<std::int64_t>(base * spread));
-    return std::min(wanted, std::max(timeLeft / LongestShare, Milliseconds(1)));
+    const auto minimum = static_cast<double>(std::max(reportedWait, MinDelay).count());
+    const auto factor = std::uniform_real_distribution<double>(1.0, 1.0 + Jitter)(m_random);
+    const Milliseconds jittered(static_cast<std::int64_t>(minimum * factor));
+    return std::min(jittered, std::max(timeLeft / MaxWaitDivisor, Milliseconds(1)));
 }
 
 }
--- a/src/core/calls/returntime.h
+++ b/src/core/calls/returntime.h
@@ -6,16 +6,16 @@
 
 namespace Galenahill {
 
-// Tells refused callers when to come back.
+// Chooses after which time rejected callers should retry.
 class ReturnTime
 {
 public:
     explicit ReturnTime(std::uint64_t seed);
 
-    // Time after which a caller that is refused now finds room, given the wait
-    // that the least busy target told and the time that the caller has left.
-    // Spread, so that callers refused together don't return together.
-    Milliseconds after(Milliseconds toldWait, Milliseconds timeLeft);
+    // Time after which a caller that is rejected now should find a free slot, given the wait that the
+    // least loaded target reported and the time that the caller has left. Jittered, so that callers
+    // rejected together do not retry together.
+    Milliseconds after(Milliseconds reportedWait, Milliseconds timeLeft);
 
 private:
     std::mt19937_64 m_random;
--- a/src/core/calls/routelimiter.cpp
+++ b/src/core/calls/routelimiter.cpp
@@ -10,17 +10,17 @@
 bool RouteLimiter::tryEnter(const RouteName &route)
 {
     auto &calls = m_routes[route];
-    if (m_all >= m_options.all || calls >= m_options.perRoute) {
+    if (m_total >= m_options.all || calls >= m_options.perRoute) {
         return false;
     }
-    ++m_all;
+    ++m_total;
     ++calls;
     return true;
 }
 
 void RouteLimiter::leave(const RouteName &route)
 {
-    --m_all;
+    --m_total;
     const auto found = m_routes.find(route);
     if (--found->second == 0) {
         m_routes.erase(found);
--- a/src/core/calls/routelimiter.h
+++ b/src/core/calls/routelimiter.h
@@ -7,8 +7,8 @@
 
 namespace Galenahill {
 
-// Bounds the calls that an ingress holds at a time, in all and of one route,
-// so that a route whose calls all hang can't use the node up for the others.
+// Limits the concurrent calls of an ingress, in total and per route, so that a route whose calls
+// all hang cannot exhaust the node for the others.
 class RouteLimiter
 {
 public:
@@ -20,13 +20,13 @@
 
     explicit RouteLimiter(Options options);
 
-    // Counts a call in; false if it must be refused.
+    // Counts a call; false if it must be rejected.
     bool tryEnter(const RouteName &route);
     void leave(const RouteName &route);
 
 private:
     Options m_options;
-    std::size_t m_all = 0;
+    std::size_t m_total = 0;
     std::unordered_map<RouteName, std::size_t> m_routes;
 };
 
--- a/src/core/calls/routingview.cpp
+++ b/src/core/calls/routingview.cpp
@@ -29,11 +29,11 @@
     const auto &[version, mode, share, chosen] = rule->second;
     const bool ofVersion = member.version == version;
     if (ofVersion && mode == Mode::Trial) {
-        auto &trial = trials[member.service];
-        trial.version = version;
-        trial.share = share;
+        auto &canary = trials[member.service];
+        canary.version = version;
+        canary.share = share;
         if (chosen.empty() || std::find(chosen.begin(), chosen.end(), member.name) != chosen.end()) {
-            trial.targets.push_back(member);
+            canary.targets.push_back(member);
         }
     } else if (ofVersion == (mode == Mode::Only)) {
         targets[member.service].push_back(member);
@@ -44,21 +44,20 @@
     std::shared_ptr<const ConfigRevision> config, const std::vector<MemberRecord> &members, const VersionRules &rules)
 {
     auto view = std::make_shared<RoutingView>();
-    std::unordered_set<ServiceName> hasOther;
+    std::unordered_set<ServiceName> hasTargets;
     for (const auto &member : members) {
         const bool takesCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
         if (takesCalls && config && config->snapshot->service(member.service) != nullptr) {
             view->add(member, rules);
-            hasOther.insert(member.service);
+            hasTargets.insert(member.service);
         }
     }
-    // Members that were given up but didn't leave: with no other target of
-    // the service they are the last resort, since a mass loss is more often a
-    // network fault than the end of all targets, and a call to a dead one is
-    // refused as not run.
+    // Members that were declared gone but did not leave are the last resort of a service without other
+    // targets: a mass loss is more often a network fault than the end of all targets, and a call to a
+    // dead target is rejected as not executed.
     for (const auto &member : members) {
         const bool lastResort = member.state == MemberState::Gone && config && config->snapshot->service(member.service) != nullptr;
-        if (lastResort && !hasOther.contains(member.service)) {
+        if (lastResort && !hasTargets.contains(member.service)) {
             view->add(member, rules);
         }
     }
--- a/src/core/calls/routingview.h
+++ b/src/core/calls/routingview.h
@@ -10,7 +10,7 @@
 
 namespace Galenahill {
 
-// A version of a service's targets that gets a share of the calls.
+// The targets of a service's canary version, and its share of the calls.
 struct VersionTrial
 {
     TargetVersion version;
@@ -18,24 +18,24 @@
     std::vector<MemberRecord> targets;
 };
 
-// What one call is routed by from its beginning to its end: a revision and
-// the targets of its services. Immutable; a call that began on one view
-// finishes on it, so it never sees half of a change.
+// What one call is routed by from beginning to end: a configuration revision and the targets of
+// its services. Immutable; a call that began on one view finishes on it, so it never sees half of
+// a change.
 struct RoutingView
 {
     std::shared_ptr<const ConfigRevision> config;
     std::unordered_map<ServiceName, std::vector<MemberRecord>> targets;
-    // Versions under test; their targets aren't among the others.
+    // Canary versions by service; `targets` does not contain their targets.
     std::unordered_map<ServiceName, VersionTrial> trials;
 
-    // The targets of a service that may take calls.
+    // The targets of a service that accept calls.
     const std::vector<MemberRecord> &targetsOf(const ServiceName &service) const;
 
-    // The trial of the service's targets; null if there is none.
+    // The canary of the service; null if there is none.
     const VersionTrial *trialOf(const ServiceName &service) const;
 
-    // Sorts the members by the services that the revision defines; members
-    // of other services, and those that take no calls, are left out.
+    // Groups the members by the services that the revision defines; members of other services, and
+    // those that accept no calls, are left out.
     static std::shared_ptr<const RoutingView> build(
         std::shared_ptr<const ConfigRevision> config, const std::vector<MemberRecord> &members, const VersionRules &rules = {});
 
--- a/src/core/calls/runningcall.h
+++ b/src/core/calls/runningcall.h
@@ -6,13 +6,13 @@
 
 namespace Galenahill {
 
-// What is known of a call that a target is running, for the calls that it makes.
+// A call that a target is executing, as far as its nested calls depend on it.
 struct RunningCall
 {
     RouteName route;
-    // Rank of the call with which the chain of calls began.
+    // Priority of the call at the root of the call tree.
     std::uint32_t priority = 0;
-    // Whether the target runs it once more after another run of the same call.
+    // Whether the call may have been executed before, or is nested in a call that may have been.
     bool repeat = false;
 };
 
--- a/src/core/calls/servicelevelmetrics.cpp
+++ b/src/core/calls/servicelevelmetrics.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Constant memory whatever the number of calls.
+// Takes constant memory for any number of calls.
 using Latency
     = accumulators::accumulator_set<double, accumulators::stats<accumulators::tag::extended_p_square_quantile, accumulators::tag::max, accumulators::tag::sum>>;
 
@@ -25,7 +25,7 @@
     CallType type = CallType::NonIdempotent;
     double sloAvailability = 0;
     Milliseconds sloLatency{0};
-    std::array<std::uint64_t, CallEndKinds> ends{};
+    std::array<std::uint64_t, CallEndKinds> results{};
     Latency latency{accumulators::extended_p_square_probabilities = Probabilities};
     SlidingCounts counts;
 };
@@ -39,9 +39,9 @@
     std::map<RouteName, RouteMetrics> routes;
 };
 
-const char *toString(CallEnd end)
+const char *toString(CallEnd result)
 {
-    switch (end) {
+    switch (result) {
     case CallEnd::Answered:
         return "answered";
     case CallEnd::TargetFailed:
@@ -61,17 +61,17 @@
 
 ServiceLevelMetrics::~ServiceLevelMetrics() = default;
 
-void ServiceLevelMetrics::record(const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency, TimePoint now)
+void ServiceLevelMetrics::record(const RouteDefinition &route, CallEnd result, std::chrono::microseconds latency, TimePoint now)
 {
     const std::lock_guard lock(d->mutex);
     auto &metrics = d->routes[route.name];
     metrics.type = route.type;
     metrics.sloAvailability = route.sloAvailability;
     metrics.sloLatency = route.sloLatency;
-    ++metrics.ends[static_cast<std::size_t>(end)];
+    ++metrics.results[static_cast<std::size_t>(result)];
     metrics.latency(static_cast<double>(latency.count()) / 1000);
-    const bool slow = end == CallEnd::Answered && route.sloLatency.count() > 0 && latency > route.sloLatency;
-    metrics.counts.add(now, {.calls = 1, .failed = end == CallEnd::Answered ? 0U : 1U, .slow = slow ? 1U : 0U});
+    const bool slow = result == CallEnd::Answered && route.sloLatency.count() > 0 && latency > route.sloLatency;
+    metrics.counts.add(now, {.calls = 1, .failed = result == CallEnd::Answered ? 0U : 1U, .slow = slow ? 1U : 0U});
 }
 
 std::vector<RouteReport> ServiceLevelMetrics::report(TimePoint now) const
@@ -84,7 +84,7 @@
         report.type = metrics.type;
         report.sloAvailability = metrics.sloAvailability;
         report.sloLatency = metrics.sloLatency;
-        report.ends = metrics.ends;
+        report.ends = metrics.results;
         report.latencyP50 = accumulators::quantile(metrics.latency, accumulators::quantile_probability = 0.5);
         report.latencyP99 = accumulators::quantile(metrics.latency, accumulators::quantile_probability = 0.99);
         report.latencyMax = accumulators::max(metrics.latency);
--- a/src/core/calls/servicelevelmetrics.h
+++ b/src/core/calls/servicelevelmetrics.h
@@ -11,20 +11,20 @@
 
 // How a call ended, as its caller saw it.
 enum class CallEnd {
-    // The target answered with a status below 500.
+    // The target responded with a status below 500.
     Answered,
-    // The target answered with a status of 500 or above.
+    // The target responded with a status of 500 or above.
     TargetFailed,
-    // Refused; certainly not run.
+    // Rejected; certainly not executed.
     NotRun,
-    // Given up; may have run.
+    // Failed or timed out; may have been executed.
     OutcomeUnknown,
 };
 
 inline constexpr std::size_t CallEndKinds = 4;
 
-// The name of an end in metrics, such as "not-run".
-const char *toString(CallEnd end);
+// The name of a result in metrics, such as "not-run".
+const char *toString(CallEnd result);
 
 // What one node measured of one route.
 struct RouteReport
@@ -33,9 +33,9 @@
     CallType type = CallType::NonIdempotent;
     double sloAvailability = 0;
     Milliseconds sloLatency{0};
-    // Since the node's start, by CallEnd.
+    // Number of calls since the node's start, indexed by CallResult.
     std::array<std::uint64_t, CallEndKinds> ends{};
-    // Latency of all calls since the start, in milliseconds.
+    // Latency of all calls since the node's start, in milliseconds.
     double latencyP50 = 0;
     double latencyP99 = 0;
     double latencyMax = 0;
@@ -44,8 +44,8 @@
     std::vector<CallCounts> windows;
 };
 
-// Calls by route: ends, latency, and the windows from which the burn of the
-// service levels is worked out. Usable from several threads.
+// Results and latency of calls by route, and the windows from which the burn rates are computed.
+// Thread-safe.
 class ServiceLevelMetrics
 {
 public:
@@ -54,7 +54,7 @@
     ServiceLevelMetrics();
     ~ServiceLevelMetrics();
 
-    void record(const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency, TimePoint now);
+    void record(const RouteDefinition &route, CallEnd result, std::chrono::microseconds latency, TimePoint now);
 
     std::vector<RouteReport> report(TimePoint now) const;
 
@@ -63,8 +63,8 @@
     std::unique_ptr<Private> d;
 };
 
-// How fast a window uses up the error budget: 1 uses it up exactly over the
-// objective's period, 0 not at all. Zero without calls or objective.
+// How fast a window uses up the error budget: at 1 the budget lasts exactly for the objective's
+// period, at 0 nothing is used. Zero if there are no calls or no objective.
 double burnRate(std::uint64_t bad, std::uint64_t calls, double objectivePercent);
 
 }
--- a/src/core/calls/servicetimes.cpp
+++ b/src/core/calls/servicetimes.cpp
@@ -8,14 +8,14 @@
 
 using Microseconds = std::chrono::microseconds;
 
-// Weight of one call in the average: follows a target that turns slow within
-// about ten calls, and isn't thrown off by one that takes three times as long.
+// Weight divisor of one call in the average: follows a target that becomes slow within about ten
+// calls, and is not distorted by one call that takes three times as long.
 constexpr int Weight = 8;
 
-// Routes whose times are kept; a configuration may have many more.
+// Most routes whose latency is kept; a configuration may have many more.
 constexpr std::size_t MaxRoutes = 256;
 
-void follow(Microseconds &average, Microseconds time)
+void updateAverage(Microseconds &average, Microseconds time)
 {
     average += (time - average) / Weight;
 }
@@ -34,9 +34,9 @@
 {
     for (auto *times : {&timesOf(route), &m_all}) {
         if (std::exchange(times->observed, true)) {
-            follow(times->usual, time);
+            updateAverage(times->average, time);
         } else {
-            times->usual = time;
+            times->average = time;
         }
     }
 }
@@ -45,10 +45,10 @@
 {
     for (auto *times : {&timesOf(route), &m_all}) {
         if (!times->observed) {
-            if (times->usual.count() == 0) {
-                times->usual = time;
+            if (times->average.count() == 0) {
+                times->average = time;
             }
-            follow(times->usual, time);
+            updateAverage(times->average, time);
         }
     }
 }
@@ -56,12 +56,12 @@
 Microseconds ServiceTimes::usual(const RouteName &route) const
 {
     const auto found = m_routes.find(route);
-    return found == m_routes.end() || found->second.usual.count() == 0 ? m_all.usual : found->second.usual;
+    return found == m_routes.end() || found->second.average.count() == 0 ? m_all.average : found->second.average;
 }
 
 Microseconds ServiceTimes::usual() const
 {
-    return m_all.usual;
+    return m_all.average;
 }
 
 void ServiceTimes::clear()
--- a/src/core/calls/servicetimes.h
+++ b/src/core/calls/servicetimes.h
@@ -6,28 +6,28 @@
 
 namespace Galenahill {
 
-// How long calls of each route take at one target of late, as moving averages.
+// Moving averages of the latency of each route's calls at one target.
 class ServiceTimes
 {
 public:
-    // A call of the route was answered after that time at the target.
+    // The target responded to a call of the route after that time.
     void observed(const RouteName &route, std::chrono::microseconds time);
 
-    // Calls of the route are taken to need that time until the first is answered.
+    // Sets an estimate for the route that applies until the first response.
     void suppose(const RouteName &route, std::chrono::microseconds time);
 
-    // The route's usual time, or the usual time of all routes while it has
-    // none; zero while nothing is known.
+    // The average latency of the route, or of all routes while the route has none; zero while
+    // nothing is known.
     std::chrono::microseconds usual(const RouteName &route) const;
     std::chrono::microseconds usual() const;
 
-    // Forgets everything, as when another target takes the place.
+    // Discards everything, for instance when another target takes this one's place.
     void clear();
 
 private:
     struct Times
     {
-        std::chrono::microseconds usual{0};
+        std::chrono::microseconds average{0};
         bool observed = false;
     };
 
--- a/src/core/calls/slidingcounts.h
+++ b/src/core/calls/slidingcounts.h
@@ -7,13 +7,13 @@
 
 namespace Galenahill {
 
-// Calls of one route, and how many of them missed the objectives.
+// Number of calls of one route, and how many of them missed the objectives.
 struct CallCounts
 {
     std::uint64_t calls = 0;
-    // Failed, or refused by a node or a target.
+    // Failed, or rejected by a node or a target.
     std::uint64_t failed = 0;
-    // Answered, but later than the route's latency objective.
+    // Succeeded, but later than the route's latency objective.
     std::uint64_t slow = 0;
 
     CallCounts &operator+=(const CallCounts &other);
@@ -21,9 +21,8 @@
     friend bool operator==(const CallCounts &, const CallCounts &) = default;
 };
 
-// Call counts of the last six hours in steps of half a minute. Holds only the
-// steps that had calls: a node sees hundreds of routes, most of them for a few
-// calls, and the whole ring would be 23 KB for each.
+// Call counts of the last six hours in steps of half a minute. Stores only steps with calls: a
+// node sees hundreds of routes, most of them with few calls, and a full ring would take 23 KB each.
 class SlidingCounts
 {
 public:
@@ -32,8 +31,7 @@
 
     void add(TimePoint now, const CallCounts &counts);
 
-    // Counts of the window that ends now, to the step. Windows beyond the
-    // longest are cut to it.
+    // Sum over the window that ends now, rounded to steps. Windows longer than the maximum are cut to it.
     CallCounts sum(TimePoint now, Milliseconds window) const;
 
 private:
@@ -45,7 +43,7 @@
         CallCounts counts;
     };
 
-    // In the order of time.
+    // Ordered by time.
     std::deque<Bucket> m_buckets;
 };
 
--- a/src/core/calls/targetload.h
+++ b/src/core/calls/targetload.h
@@ -4,12 +4,12 @@
 
 namespace Galenahill {
 
-// What a sidecar says about its target on each answer.
+// Load of a target as its sidecar reports it in each response.
 struct TargetLoad
 {
-    // Calls that the target runs and the sidecar holds.
+    // Calls that the target executes and that the sidecar queues.
     std::uint32_t calls = 0;
-    // Calls that the target may run now; zero if it takes none.
+    // Calls that the target may execute now; zero if it accepts none.
     std::uint32_t limit = 0;
 };
 
--- a/src/core/calls/trafficsplit.cpp
+++ b/src/core/calls/trafficsplit.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-// Routes whose shares are kept; a configuration may have many more.
+// Most routes whose weights are kept; a configuration may have many more.
 constexpr std::size_t MaxRoutes = 1024;
 
 }
 
-std::vector<TrafficSplit::Part> &TrafficSplit::partsOf(const RouteDefinition &route)
+std::vector<TrafficSplit::Backend> &TrafficSplit::backendsOf(const RouteDefinition &route)
 {
     if (m_routes.size() >= MaxRoutes && m_routes.count(route.name) == 0) {
         m_routes.clear();
     }
-    auto &parts = m_routes[route.name];
-    const auto same = [](const Part &part, const WeightedService &target) { return part.target == target; };
-    if (!std::equal(parts.begin(), parts.end(), route.split.begin(), route.split.end(), same)) {
-        parts.clear();
+    auto &backends = m_routes[route.name];
+    const auto same = [](const Backend &backend, const WeightedService &target) { return backend.target == target; };
+    if (!std::equal(backends.begin(), backends.end(), route.split.begin(), route.split.end(), same)) {
+        backends.clear();
         for (const auto &target : route.split) {
-            parts.push_back({target, 0});
+            backends.push_back({target, 0});
         }
     }
-    return parts;
+    return backends;
 }
 
 const ServiceName &TrafficSplit::next(const RouteDefinition &route)
@@ -32,14 +32,15 @@
     if (route.split.empty()) {
         return route.service;
     }
-    auto &parts = partsOf(route);
+    auto &backends = backendsOf(route);
     std::int64_t sum = 0;
-    for (auto &part : parts) {
-        part.behind += part.target.weight;
-        sum += part.target.weight;
+    for (auto &backend : backends) {
+        backend.currentWeight += backend.target.weight;
+        sum += backend.target.weight;
     }
-    const auto chosen = std::max_element(parts.begin(), parts.end(), [](const Part &a, const Part &b) { return a.behind < b.behind; });
-    chosen->behind -= sum;
+    const auto chosen
+        = std::max_element(backends.begin(), backends.end(), [](const Backend &a, const Backend &b) { return a.currentWeight < b.currentWeight; });
+    chosen->currentWeight -= sum;
     return chosen->target.service;
 }
 
--- a/src/core/calls/trafficsplit.h
+++ b/src/core/calls/trafficsplit.h
@@ -8,27 +8,26 @@
 
 namespace Galenahill {
 
-// Distributes the calls of a route over its parts in the proportion of their
-// weights, evenly in time: after any number of calls each part has had its
-// share to within one call. A random choice would stray from the weights by
-// several per cent in a window of some hundred calls.
+// Distributes the calls of a route over its services by smooth weighted round-robin: after any
+// number of calls each service has had its share to within one call. A random choice would deviate
+// from the weights by several per cent in a window of some hundred calls.
 class TrafficSplit
 {
 public:
-    // The service that takes the next call of the route.
+    // The service that gets the next call of the route.
     const ServiceName &next(const RouteDefinition &route);
 
 private:
-    struct Part
+    struct Backend
     {
         WeightedService target;
-        // How far the part is behind its share, in weights.
-        std::int64_t behind = 0;
+        // Calls by which the service is behind its share, times the sum of the weights.
+        std::int64_t currentWeight = 0;
     };
 
-    std::vector<Part> &partsOf(const RouteDefinition &route);
+    std::vector<Backend> &backendsOf(const RouteDefinition &route);
 
-    std::unordered_map<RouteName, std::vector<Part>> m_routes;
+    std::unordered_map<RouteName, std::vector<Backend>> m_routes;
 };
 
 }
--- a/src/core/calls/urgencyguard.cpp
+++ b/src/core/calls/urgencyguard.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Routes and services that are remembered; a configuration may have many more, of
-// which few are used at a time.
-constexpr std::size_t MaxKept = 256;
+// Most routes and services that are kept; a configuration may have many more, of which few are
+// in use at a time.
+constexpr std::size_t MaxEntries = 256;
 
 template <typename Map>
-void keepBounded(Map &map, const typename Map::key_type &key)
+void clearIfFull(Map &map, const typename Map::key_type &key)
 {
-    if (map.size() >= MaxKept && map.count(key) == 0) {
+    if (map.size() >= MaxEntries && map.count(key) == 0) {
         map.clear();
     }
 }
@@ -28,57 +28,57 @@
 
 void UrgencyGuard::learn(const RouteName &route, std::vector<ServiceName> services)
 {
-    keepBounded(m_calls, route);
-    m_calls[route] = std::move(services);
+    clearIfFull(m_calledServices, route);
+    m_calledServices[route] = std::move(services);
 }
 
 const std::vector<ServiceName> &UrgencyGuard::calledBy(const RouteName &route) const
 {
     static const std::vector<ServiceName> none;
-    const auto found = m_calls.find(route);
-    return found == m_calls.end() ? none : found->second;
+    const auto found = m_calledServices.find(route);
+    return found == m_calledServices.end() ? none : found->second;
 }
 
-void UrgencyGuard::ended(const RouteDefinition &route, const ServiceName &service, bool refused, TimePoint now)
+void UrgencyGuard::ended(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now)
 {
-    keepBounded(m_services, service);
-    keepBounded(m_routes, route.name);
-    m_services[service][route.priority].add(refused, now);
-    m_routes[route.name].add(refused, now);
+    clearIfFull(m_rejectionsByService, service);
+    clearIfFull(m_rejectionsByRoute, route.name);
+    m_rejectionsByService[service][route.priority].add(rejected, now);
+    m_rejectionsByRoute[route.name].add(rejected, now);
 }
 
 double UrgencyGuard::refusedAbove(const RouteDefinition &route, TimePoint now) const
 {
-    double most = 0;
-    const auto called = m_calls.find(route.name);
-    if (called == m_calls.end()) {
-        return most;
+    double highest = 0;
+    const auto called = m_calledServices.find(route.name);
+    if (called == m_calledServices.end()) {
+        return highest;
     }
     for (const auto &service : called->second) {
-        const auto ranks = m_services.find(service);
-        if (ranks == m_services.end()) {
+        const auto byPriority = m_rejectionsByService.find(service);
+        if (byPriority == m_rejectionsByService.end()) {
             continue;
         }
-        for (const auto &[rank, share] : ranks->second) {
-            most = rank < route.priority ? std::max(most, share.value(now)) : most;
+        for (const auto &[priority, ratio] : byPriority->second) {
+            highest = priority < route.priority ? std::max(highest, ratio.value(now)) : highest;
         }
     }
-    return most;
+    return highest;
 }
 
 bool UrgencyGuard::shedLoad(const RouteDefinition &route, TimePoint now)
 {
-    const auto wanted = refusedAbove(route, now) - m_options.margin;
-    if (wanted <= 0) {
+    const auto desired = refusedAbove(route, now) - m_options.margin;
+    if (desired <= 0) {
         return false;
     }
-    const auto found = m_routes.find(route.name);
-    const auto own = found == m_routes.end() ? 0 : found->second.value(now);
-    if (own >= wanted) {
+    const auto found = m_rejectionsByRoute.find(route.name);
+    const auto ownRatio = found == m_rejectionsByRoute.end() ? 0 : found->second.value(now);
+    if (ownRatio >= desired) {
         return false;
     }
-    // Those that aren't shed are refused as often as before.
-    return std::uniform_real_distribution<double>(0, 1)(m_random) < (wanted - own) / (1 - own);
+    // Calls that are not shed are rejected as often as before.
+    return std::uniform_real_distribution<double>(0, 1)(m_random) < (desired - ownRatio) / (1 - ownRatio);
 }
 
 }
--- a/src/core/calls/urgencyguard.h
+++ b/src/core/calls/urgencyguard.h
@@ -11,50 +11,47 @@
 
 namespace Galenahill {
 
-// Keeps less urgent calls from taking the slots of more urgent ones by the calls
-// that they make. Calls of running calls go first at every target, or the work
-// done so far would be lost; so lookups whose runs ask the submissions service
-// twice each take all of its slots, and submissions, more urgent, are refused.
-// The lookups are shed before they start: as large a share of them is
-// refused as of the more urgent calls of the services that they lead to. What a
-// route's runs call is learnt from their targets' nodes.
+// Protects calls of higher priority from the nested calls of lower ones. Nested calls go first at
+// every target, because otherwise the work of their parent calls would be lost. So lookups that
+// each call the submissions service twice take all of its slots, and submissions, which have a
+// higher priority, are rejected. The guard sheds lookups before they start: it rejects as large a
+// fraction of them as is rejected of the higher-priority calls to the services that they call. The
+// nodes of the targets report which services a route calls.
 class UrgencyGuard
 {
 public:
     struct Options
     {
         std::uint64_t seed = 1;
-        // Share by which the less urgent may be better off: below it the shares of
-        // a few seconds differ by chance.
+        // Fraction by which lower-priority calls may be better off; smaller differences over some
+        // seconds are due to chance.
         double margin = 0.05;
     };
 
     explicit UrgencyGuard(Options options);
 
-    // The run of a call of the route makes calls to those services.
+    // Targets that execute calls of the route call those services.
     void learn(const RouteName &route, std::vector<ServiceName> services);
 
-    // The services that runs of the route are known to call.
+    // The services that targets are known to call while they execute calls of the route.
     const std::vector<ServiceName> &calledBy(const RouteName &route) const;
 
-    // A call of the route to the service ended, refused for want of room or not.
-    void ended(const RouteDefinition &route, const ServiceName &service, bool refused, TimePoint now);
+    // A call of the route to the service ended; `rejected`: for lack of free slots.
+    void ended(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now);
 
-    // Whether a call of the route is to be refused for the sake of more urgent
-    // ones.
+    // Whether to reject a call of the route in favour of calls of higher priority.
     bool shedLoad(const RouteDefinition &route, TimePoint now);
 
-    // Share of the more urgent calls that are refused at the services to which
-    // the route's runs lead.
+    // Highest fraction of higher-priority calls that is rejected at any service that the route calls.
     double refusedAbove(const RouteDefinition &route, TimePoint now) const;
 
 private:
     Options m_options;
     std::mt19937_64 m_random;
-    std::unordered_map<RouteName, std::vector<ServiceName>> m_calls;
-    // By service and rank, and by route without those that gave way.
-    std::map<ServiceName, std::map<std::uint32_t, RefusalShare>> m_services;
-    std::unordered_map<RouteName, RefusalShare> m_routes;
+    std::unordered_map<RouteName, std::vector<ServiceName>> m_calledServices;
+    // By service and priority, and by route without the calls that the guard shed.
+    std::map<ServiceName, std::map<std::uint32_t, RefusalShare>> m_rejectionsByService;
+    std::unordered_map<RouteName, RefusalShare> m_rejectionsByRoute;
 };
 
 }
