--- a/autotests/support/fleetload.h
+++ b/autotests/support/fleetload.h
@@ -19,9 +19,9 @@
 
 namespace Galenahill::Test {
 
-// One service of a fleet under open load, in model time: an ingress on each VM
-// chooses with the product's own classes, targets run calls in slots and let them
-// wait for a bounded time. One seed gives one result.
+// Simulation of one service of a fleet under open-loop load, in model time: an ingress on each VM
+// chooses targets with the project's own classes, targets run calls in slots and queue them for a
+// bounded time. The result depends on the options and the seed only.
 class FleetLoad
 {
 public:
@@ -29,26 +29,25 @@
     {
         std::uint64_t seed = 1;
         std::size_t dataCentres = 6;
-        // In each data centre; the other VMs have ingresses only.
+        // Per data centre; VMs without a target only have an ingress.
         std::size_t targets = 17;
         std::size_t members = 49;
         std::uint32_t slots = 6;
         double workMs = 160;
-        // Of targets, in turn.
+        // Relative speeds of the targets, assigned in turn.
         std::vector<double> speeds{0.6, 1.0, 1.4};
-        // Share of all slots that the calls need.
+        // Offered load as a fraction of the capacity of all targets.
         double load = 0.85;
-        // Share of the calls that arrive in each data centre, in turn; the mean of
-        // them is one.
+        // Relative arrival rates of the data centres, assigned in turn; their mean is one.
         std::vector<double> arrivals{1};
-        // Targets of the first data centre that are gone from the start.
+        // Number of targets of the first data centre that are missing from the start.
         std::size_t missing = 0;
         Milliseconds objective{500};
         Milliseconds longestWait{75};
         Milliseconds length{5000};
-        // Whether ingresses hear of loads by the exchange, or from answers only.
+        // Whether ingresses learn loads through the exchange, or from responses only.
         bool exchange = true;
-        // Delivers no report of the exchange from then on.
+        // Time from which no load reports are delivered.
         Milliseconds silentFrom{1'000'000};
         TargetPicker::Options picker;
     };
@@ -65,7 +64,7 @@
         // By data centre of the caller.
         std::vector<std::size_t> callsOf;
         std::vector<std::size_t> servedOf;
-        // By target, and what the target could serve in proportion.
+        // Calls run by each target, relative to its speed.
         std::vector<double> ranPerCapacity;
 
         double served() const
@@ -138,12 +137,12 @@
         double speed = 1;
         std::uint32_t running = 0;
         double ran = 0;
-        std::deque<std::uint64_t> line;
+        std::deque<std::uint64_t> queue;
         std::unique_ptr<TargetPicker> picker;
         std::unique_ptr<LoadExchange> exchange;
     };
 
-    struct Waiter
+    struct QueuedCall
     {
         std::shared_ptr<Call> call;
         std::size_t target = 0;
@@ -197,7 +196,7 @@
             LoadExchange::Options options;
             options.self = node.record;
             options.seed = m_options.seed + i;
-            options.ownLoad = [this, i] { return ownLoad(m_nodes[i]); };
+            options.ownLoad = [this, i] { return loadOf(m_nodes[i]); };
             options.send = [this, i](const Endpoint &to, const LoadReport &report) {
                 if (m_now - m_start >= m_options.silentFrom) {
                     return;
@@ -232,14 +231,14 @@
         return std::chrono::microseconds(static_cast<std::int64_t>(m_options.workMs * 1000 / node.speed / m_options.slots));
     }
 
-    OwnLoad ownLoad(const Node &node) const
+    OwnLoad loadOf(const Node &node) const
     {
         if (!node.hasTarget) {
             return {};
         }
         const bool full = node.running >= m_options.slots;
-        const auto wait = full ? slotInterval(node) * static_cast<int>(node.line.size() + 1) : std::chrono::microseconds(0);
-        return {{node.running + static_cast<std::uint32_t>(node.line.size()), m_options.slots}, std::chrono::duration_cast<Milliseconds>(wait)};
+        const auto wait = full ? slotInterval(node) * static_cast<int>(node.queue.size() + 1) : std::chrono::microseconds(0);
+        return {{node.running + static_cast<std::uint32_t>(node.queue.size()), m_options.slots}, std::chrono::duration_cast<Milliseconds>(wait)};
     }
 
     void scheduleTick(std::size_t index, Milliseconds delay)
@@ -295,25 +294,25 @@
             return;
         }
         const auto until = call->begin + m_options.longestWait;
-        if (!mayWait || m_now + slotInterval(target) * static_cast<int>(target.line.size() + 1) >= until) {
+        if (!mayWait || m_now + slotInterval(target) * static_cast<int>(target.queue.size() + 1) >= until) {
             reply(call, index, false);
             return;
         }
         const auto ticket = m_nextTicket++;
-        m_waiters[ticket] = {call, index};
-        target.line.push_back(ticket);
+        m_queuedCalls[ticket] = {call, index};
+        target.queue.push_back(ticket);
         at(until, [this, ticket] { expire(ticket); });
     }
 
     void expire(std::uint64_t ticket)
     {
-        const auto waiter = m_waiters.find(ticket);
-        if (waiter == m_waiters.end()) {
+        const auto queued = m_queuedCalls.find(ticket);
+        if (queued == m_queuedCalls.end()) {
             return;
         }
-        const auto [call, target] = waiter->second;
-        m_waiters.erase(waiter);
-        std::erase(m_nodes[target].line, ticket);
+        const auto [call, target] = queued->second;
+        m_queuedCalls.erase(queued);
+        std::erase(m_nodes[target].queue, ticket);
         reply(call, target, false);
     }
 
@@ -333,9 +332,9 @@
         auto &target = m_nodes[index];
         --target.running;
         reply(call, index, true);
-        if (!target.line.empty()) {
-            const auto next = m_waiters.extract(target.line.front()).mapped();
-            target.line.pop_front();
+        if (!target.queue.empty()) {
+            const auto next = m_queuedCalls.extract(target.queue.front()).mapped();
+            target.queue.pop_front();
             start(next.call, index);
         }
     }
@@ -343,7 +342,7 @@
     void reply(const std::shared_ptr<Call> &call, std::size_t index, bool ran)
     {
         const auto &target = m_nodes[index];
-        const auto load = ownLoad(target);
+        const auto load = loadOf(target);
         at(m_now + latency(target, m_nodes[call->ingress]), [this, call, index, ran, load] {
             auto &ingress = m_nodes[call->ingress];
             const auto &name = m_nodes[index].record.name;
@@ -374,11 +373,11 @@
     std::vector<Node> m_nodes;
     std::vector<MemberRecord> m_targets;
     std::map<std::string, std::size_t> m_index;
-    std::map<std::uint64_t, Waiter> m_waiters;
+    std::map<std::uint64_t, QueuedCall> m_queuedCalls;
     std::priority_queue<Event> m_events;
     std::uint64_t m_nextEvent = 0;
     std::uint64_t m_nextTicket = 0;
-    // Calls that all targets can run in a second.
+    // Calls per second that all targets together can run.
     double m_capacity = 0;
     Result m_result;
 };
--- a/autotests/support/heapcounter.h
+++ b/autotests/support/heapcounter.h
@@ -6,15 +6,15 @@
 #include <malloc.h>
 #include <new>
 
-// Counts what the whole program takes from the heap. To be included by one
-// source file of a program.
+// Counts the heap allocations of the whole program. Include it in only one source file of a
+// program.
 namespace Galenahill::HeapCounter {
 
 inline std::atomic<std::uint64_t> allocations = 0;
 inline std::atomic<std::int64_t> liveBytes = 0;
 inline std::atomic<std::int64_t> peakBytes = 0;
 
-// Begins a new measurement of the peak and gives the bytes live now.
+// Restarts the measurement of the peak and returns the bytes that are allocated now.
 inline std::int64_t restartPeak()
 {
     peakBytes = liveBytes.load();
--- a/autotests/support/memberships.h
+++ b/autotests/support/memberships.h
@@ -11,13 +11,12 @@
 
 namespace Galenahill {
 
-// Several members joined by a network in memory that loses, duplicates,
-// crosses or cuts datagrams on demand. Time moves only by `run`.
+// Several members connected by an in-memory network that drops, duplicates, reorders or blocks
+// datagrams on demand. Time advances only in `run`.
 class Memberships
 {
 public:
-    // All members know each other at the start; `change` may set other options
-    // than the defaults.
+    // All members know each other at the start; `change` may override the default options.
     explicit Memberships(std::size_t count, std::function<void(Membership::Options &)> change = {})
         : m_change(std::move(change))
     {
@@ -33,7 +32,7 @@
         }
     }
 
-    // Starts the member anew with its present incarnation number.
+    // Restarts the member with its current incarnation number.
     void start(std::size_t i)
     {
         Membership::Options options;
@@ -48,7 +47,7 @@
         options.send = [this, i](const Endpoint &to, const GossipMessage &message) { send(i, to, message); };
         options.changed = [] {};
         options.revision = [this, i] { return revisions[i]; };
-        options.revisionHeard = [this, i](const Endpoint &, Revision revision) { hear(i, revision); };
+        options.revisionHeard = [this, i](const Endpoint &, Revision revision) { adoptRevision(i, revision); };
         if (m_change) {
             m_change(options);
         }
@@ -69,7 +68,7 @@
         }
     }
 
-    // Runs until the condition holds; gives the time, or the limit.
+    // Runs until the condition holds or the limit is reached; returns the elapsed time.
     Milliseconds runUntil(const std::function<bool()> &holds, Milliseconds limit)
     {
         const auto begin = now;
@@ -79,7 +78,7 @@
         return std::chrono::duration_cast<Milliseconds>(now - begin);
     }
 
-    // What one member knows of another; Gone also if it knows nothing.
+    // State in which one member sees another; Gone also if it doesn't know it.
     MemberState stateSeenBy(std::size_t observer, std::size_t subject) const
     {
         for (const auto &record : members[observer]->records()) {
@@ -90,7 +89,7 @@
         return MemberState::Gone;
     }
 
-    // Whether each running member knows all running ones as ready.
+    // Whether each running member sees all other running ones as ready.
     bool whole() const
     {
         for (std::size_t i = 0; i < members.size(); ++i) {
@@ -103,7 +102,7 @@
         return true;
     }
 
-    // Whether each running member but the subject itself sees it so.
+    // Whether each running member except the subject sees it in this state.
     bool allSee(std::size_t subject, MemberState state) const
     {
         for (std::size_t i = 0; i < members.size(); ++i) {
@@ -140,9 +139,9 @@
     TimePoint now = TimePoint() + std::chrono::hours(1);
     double lossRatio = 0;
     double duplicateRatio = 0;
-    // Takes the datagrams of a step in random order.
+    // Delivers the datagrams of a step in random order.
     bool crossing = false;
-    // Whether a datagram between the two gets through.
+    // Whether datagrams between the two members get through.
     std::function<bool(std::size_t, std::size_t)> connected = [](std::size_t, std::size_t) { return true; };
     std::size_t datagrams = 0;
     // Called with each datagram that is sent.
@@ -175,12 +174,12 @@
         return std::uniform_real_distribution<>(0, 1)(m_random) < ratio;
     }
 
-    // Stands for the pull: a member that hears of a revision has it.
-    void hear(std::size_t i, Revision revision)
+    // Stands in for the pull: a member that learns of a newer revision has it at once.
+    void adoptRevision(std::size_t i, Revision revision)
     {
         if (revision > revisions[i]) {
             revisions[i] = revision;
-            m_taken.insert(i);
+            m_adopted.insert(i);
         }
     }
 
@@ -196,8 +195,8 @@
                 members[datagram.to]->receive({"10.0.0." + std::to_string(datagram.from), 1}, datagram.message, now);
             }
         }
-        const auto taken = std::exchange(m_taken, {});
-        for (const auto i : taken) {
+        const auto adopted = std::exchange(m_adopted, {});
+        for (const auto i : adopted) {
             members[i]->announceRevision(now);
         }
     }
@@ -205,7 +204,7 @@
     std::function<void(Membership::Options &)> m_change;
     std::mt19937_64 m_random{7};
     std::deque<Datagram> m_inFlight;
-    std::set<std::size_t> m_taken;
+    std::set<std::size_t> m_adopted;
 };
 
 }
--- a/autotests/unit/clockwatchtest.cpp
+++ b/autotests/unit/clockwatchtest.cpp
@@ -8,14 +8,14 @@
 
 struct Clocks
 {
-    Milliseconds pass(Milliseconds steadyTime, Milliseconds dayTime)
+    Milliseconds advance(Milliseconds steadyTime, Milliseconds dayTime)
     {
         steady += steadyTime;
         day += dayTime;
-        return watch.observe(day, steady);
+        return detector.observe(day, steady);
     }
 
-    ClockWatch watch;
+    ClockWatch detector;
     TimePoint steady{Milliseconds(5000)};
     ClockWatch::TimeOfDay day{Milliseconds(1'700'000'000'000)};
 };
@@ -24,15 +24,15 @@
 
 BOOST_FIXTURE_TEST_CASE(StepsAreCountedInBothDirections, Clocks)
 {
-    BOOST_TEST(pass(Milliseconds(0), Milliseconds(0)).count() == 0);
-    BOOST_TEST(pass(Milliseconds(100), Milliseconds(10100)).count() == 10000);
-    BOOST_TEST(pass(Milliseconds(100), Milliseconds(-9900)).count() == -10000);
-    BOOST_TEST(watch.steps() == 2U);
+    BOOST_TEST(advance(Milliseconds(0), Milliseconds(0)).count() == 0);
+    BOOST_TEST(advance(Milliseconds(100), Milliseconds(10100)).count() == 10000);
+    BOOST_TEST(advance(Milliseconds(100), Milliseconds(-9900)).count() == -10000);
+    BOOST_TEST(detector.steps() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(ALateReadingIsNoStep, Clocks)
+BOOST_FIXTURE_TEST_CASE(LateReadingIsNoStep, Clocks)
 {
-    pass(Milliseconds(0), Milliseconds(0));
-    BOOST_TEST(pass(Milliseconds(30000), Milliseconds(30020)).count() == 0);
-    BOOST_TEST(watch.steps() == 0U);
+    advance(Milliseconds(0), Milliseconds(0));
+    BOOST_TEST(advance(Milliseconds(30000), Milliseconds(30020)).count() == 0);
+    BOOST_TEST(detector.steps() == 0U);
 }
--- a/autotests/unit/datagramloopstest.cpp
+++ b/autotests/unit/datagramloopstest.cpp
@@ -1,6 +1,6 @@
-// Two members that take each other for somebody else, or know too little of each
-// other, answer datagram for datagram. Neither waits for a timer in between, so
-// that a pair of them fills the link and its processors for as long as both live.
+// Guards against datagram loops. Two members that misidentify each other, or know too little of
+// each other, answer datagram for datagram. No timer limits the rate, so such a pair fills the link
+// and its processors for as long as both live.
 
 #include "core/fleet/membership.h"
 
@@ -14,8 +14,7 @@
 const Endpoint FirstEndpoint{"10.0.0.1", 7620};
 const Endpoint SecondEndpoint{"10.0.0.2", 7620};
 
-// Far more than two members need to come to know each other, far fewer than a
-// loop takes in a second.
+// Far more than two members need to learn of each other, far fewer than a loop sends in a second.
 constexpr int MaxDatagrams = 40;
 
 MemberRecord record(const std::string &name, const Endpoint &control, std::uint64_t incarnation, MemberState state = MemberState::Ready)
@@ -39,7 +38,7 @@
     GossipMessage message;
 };
 
-// Two members on a network without loss; what is sent is counted.
+// Two members on a lossless network that counts the datagrams it delivers.
 struct Pair
 {
     Membership make(const MemberRecord &self)
@@ -53,7 +52,7 @@
         return Membership(options);
     }
 
-    // Delivers what is sent, and what is sent upon it, and counts.
+    // Delivers pending datagrams and the replies to them, and returns how many.
     int deliver(Membership &first, Membership &second)
     {
         int delivered = 0;
@@ -79,11 +78,10 @@
 
 }
 
-// A VM was replaced, and its successor got the address. The other member still
-// lists the former one there; it must not take what the successor says of itself
-// for what it should know of the former one, nor the answers to its probes for
-// signs that the former one lives.
-BOOST_AUTO_TEST_CASE(ASuccessorAtAnAddressIsToldFromTheFormerMember)
+// A VM was replaced, and its successor has its address. The other member still lists the former one
+// there; it must attribute neither the successor's state nor the successor's Acks to the former
+// one.
+BOOST_AUTO_TEST_CASE(SuccessorAtAnAddressIsDistinguishedFromFormerMember)
 {
     for (const auto former : {MemberState::Ready, MemberState::Gone, MemberState::Left}) {
         Pair pair;
@@ -106,10 +104,10 @@
     }
 }
 
-// A member that has left goes on answering while its last calls end. One that
-// doesn't know it asks who it is, doesn't take in a member that has left, and
-// must not ask again for each answer.
-BOOST_AUTO_TEST_CASE(AMemberThatLeftIsNotAskedOverAndOver)
+// A member that has left still answers while its last calls end. A member that doesn't know it
+// requests its record, doesn't add a member that has left, and must not request the record again
+// for each answer.
+BOOST_AUTO_TEST_CASE(RecordOfMemberThatLeftIsNotRequestedRepeatedly)
 {
     Pair pair;
     auto first = pair.make(record("a", FirstEndpoint, 1000));
--- a/autotests/unit/loadexchangetest.cpp
+++ b/autotests/unit/loadexchangetest.cpp
@@ -100,13 +100,13 @@
         BOOST_TEST(node.exchange->knownTargets() == 49U);
         BOOST_TEST(node.exchange->oldestTarget(fleet.now).count() <= 1000);
         BOOST_TEST((&node == &fleet.nodes[0] || node.targets.at("vm-0-0").calls == 6U));
-        // Two each 100 ms, whatever the size of the data centre.
+        // Two reports every 100 ms, whatever the size of the data centre.
         BOOST_TEST(node.sent <= 40U);
     }
 }
 
-// The pattern: a data centre of a fleet of 1,100, with more targets than one report
-// takes. No target is left out for good.
+// Scenario: a data centre in a fleet of 1,100 VMs has more targets than fit into one report. No
+// target may be left out for good.
 BOOST_AUTO_TEST_CASE(TargetsBeyondOneReportAreKnownAsWell)
 {
     Fleet fleet(1, 220);
@@ -116,7 +116,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(OtherDataCentresAreKnownByTheSumsOfTheirServices)
+BOOST_AUTO_TEST_CASE(RemoteDataCentresAreKnownByTheirServiceSums)
 {
     Fleet fleet(3, 10);
     fleet.run(Milliseconds(3000));
@@ -127,7 +127,7 @@
     BOOST_TEST(fleet.nodes[0].targets.count("vm-2-0") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(LoadsOfSilentNodesAreForgotten)
+BOOST_AUTO_TEST_CASE(LoadsOfUnreachableNodesExpire)
 {
     Fleet fleet(2, 6);
     fleet.run(Milliseconds(2000));
@@ -136,8 +136,8 @@
     BOOST_TEST(fleet.nodes[0].exchange->knownTargets() == 1U);
 }
 
-// Guards against calls held back from a target that has just become ready.
-BOOST_AUTO_TEST_CASE(TargetsThatTakeNoCallsAreNotReported)
+// Guards against calls kept away from a target that has just become ready.
+BOOST_AUTO_TEST_CASE(TargetsThatAcceptNoCallsAreNotReported)
 {
     Fleet fleet(1, 6);
     fleet.nodes[3].own = {};
@@ -148,14 +148,15 @@
     BOOST_TEST(fleet.nodes[0].targets.at("vm-0-3").calls == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnIntervalOfZeroSendsNothing)
+BOOST_AUTO_TEST_CASE(IntervalOfZeroSendsNothing)
 {
     Fleet fleet(2, 6, Milliseconds(0));
     fleet.run(Milliseconds(1000));
     BOOST_TEST(fleet.nodes[0].sent == 0U);
 }
 
-// Guards against loads from before a restart of the whole fleet.
+// Guards against loads from before a restart of the whole fleet that are applied to the restarted
+// targets.
 BOOST_AUTO_TEST_CASE(LoadsOfFormerIncarnationsAreDropped)
 {
     Fleet fleet(1, 6);
@@ -171,7 +172,7 @@
     BOOST_TEST(fleet.nodes[0].exchange->dropped() == 1U);
 }
 
-BOOST_AUTO_TEST_SUITE(badReports)
+BOOST_AUTO_TEST_SUITE(invalidReports)
 
 struct Receiver : Fleet
 {
@@ -180,78 +181,78 @@
     {
     }
 
-    bool takes(const TargetReport &target)
+    bool accepts(const TargetReport &target)
     {
         nodes[0].targets.clear();
         nodes[0].exchange->receive(records[1].control(), {.targets = {target}}, now);
         return !nodes[0].targets.empty();
     }
 
-    bool takes(const PoolReport &pool)
+    bool accepts(const PoolReport &pool)
     {
         nodes[0].pools.clear();
         nodes[0].exchange->receive(records[1].control(), {.pools = {pool}}, now);
         return !nodes[0].pools.empty();
     }
 
-    TargetReport good{.target = records[1].name, .incarnation = 5, .calls = 1, .limit = 6};
+    TargetReport goodTarget{.target = records[1].name, .incarnation = 5, .calls = 1, .limit = 6};
     PoolReport goodPool{.dataCentre = DataCentre("dc-1"), .service = ServiceName("board"), .calls = 1, .limit = 12};
 };
 
-BOOST_FIXTURE_TEST_CASE(OfStrangersAreDropped, Receiver)
+BOOST_FIXTURE_TEST_CASE(FromUnknownSendersAreDropped, Receiver)
 {
-    nodes[0].exchange->receive({"10.9.9.9", 7}, {.targets = {good}}, now);
+    nodes[0].exchange->receive({"10.9.9.9", 7}, {.targets = {goodTarget}}, now);
     BOOST_TEST(nodes[0].targets.empty());
     BOOST_TEST(nodes[0].exchange->dropped() == 1U);
-    BOOST_TEST(takes(good));
+    BOOST_TEST(accepts(goodTarget));
 }
 
 BOOST_FIXTURE_TEST_CASE(AboutUnknownTargetsAreDropped, Receiver)
 {
-    good.target = NodeName("of-another-customer");
-    BOOST_TEST(!takes(good));
-    good.target = records[5].name;
-    BOOST_TEST(!takes(good));
+    goodTarget.target = NodeName("of-another-customer");
+    BOOST_TEST(!accepts(goodTarget));
+    goodTarget.target = records[5].name;
+    BOOST_TEST(!accepts(goodTarget));
     goodPool.dataCentre = DataCentre("nowhere");
-    BOOST_TEST(!takes(goodPool));
+    BOOST_TEST(!accepts(goodPool));
     goodPool.dataCentre = DataCentre("dc-1");
     goodPool.service = ServiceName("of-another-customer");
-    BOOST_TEST(!takes(goodPool));
+    BOOST_TEST(!accepts(goodPool));
     BOOST_TEST(nodes[0].exchange->dropped() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AboutTheOwnTargetOrPoolAreIgnored, Receiver)
+BOOST_FIXTURE_TEST_CASE(AboutTheLocalTargetOrPoolAreIgnored, Receiver)
 {
-    good.target = records[0].name;
-    BOOST_TEST(!takes(good));
+    goodTarget.target = records[0].name;
+    BOOST_TEST(!accepts(goodTarget));
     goodPool.dataCentre = DataCentre("dc-0");
-    BOOST_TEST(!takes(goodPool));
+    BOOST_TEST(!accepts(goodPool));
 }
 
-BOOST_FIXTURE_TEST_CASE(WithAbsurdValuesAreDropped, Receiver)
+BOOST_FIXTURE_TEST_CASE(WithValuesOutOfRangeAreDropped, Receiver)
 {
-    good.calls = 4'000'000'000U;
-    BOOST_TEST(!takes(good));
-    good.calls = 1;
-    good.waitMs = 3'600'000;
-    BOOST_TEST(!takes(good));
+    goodTarget.calls = 4'000'000'000U;
+    BOOST_TEST(!accepts(goodTarget));
+    goodTarget.calls = 1;
+    goodTarget.waitMs = 3'600'000;
+    BOOST_TEST(!accepts(goodTarget));
     goodPool.limit = 4'000'000'000U;
-    BOOST_TEST(!takes(goodPool));
-    nodes[0].exchange->receive(records[1].control(), {.targets = std::vector<TargetReport>(5000, good)}, now);
+    BOOST_TEST(!accepts(goodPool));
+    nodes[0].exchange->receive(records[1].control(), {.targets = std::vector<TargetReport>(5000, goodTarget)}, now);
     BOOST_TEST(nodes[0].exchange->dropped() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(ThatAreOldDontReplaceNewerOnes, Receiver)
+BOOST_FIXTURE_TEST_CASE(ThatAreOlderDontReplaceNewerOnes, Receiver)
 {
-    BOOST_TEST(takes(good));
-    BOOST_TEST(!takes(good));
-    good.ageMs = 50;
-    BOOST_TEST(!takes(good));
-    good.ageMs = 4'000'000'000U;
-    BOOST_TEST(!takes(good));
+    BOOST_TEST(accepts(goodTarget));
+    BOOST_TEST(!accepts(goodTarget));
+    goodTarget.ageMs = 50;
+    BOOST_TEST(!accepts(goodTarget));
+    goodTarget.ageMs = 4'000'000'000U;
+    BOOST_TEST(!accepts(goodTarget));
     now += Milliseconds(100);
-    good.ageMs = 50;
-    BOOST_TEST(takes(good));
+    goodTarget.ageMs = 50;
+    BOOST_TEST(accepts(goodTarget));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/autotests/unit/membershipcosttest.cpp
+++ b/autotests/unit/membershipcosttest.cpp
@@ -4,8 +4,8 @@
 
 using namespace Galenahill;
 
-// Bounds on what the protocol sends, counted and not timed, so that CI can
-// hold them on any machine.
+// Limits on the traffic of the protocol. They are counted rather than timed, so that CI can enforce
+// them on any machine.
 
 BOOST_AUTO_TEST_CASE(IdleMemberSendsTwoDatagramsPerProbeInterval)
 {
@@ -15,7 +15,7 @@
     std::size_t records = 0;
     fleet.sent = [&](const GossipMessage &message) { records += message.updates.size(); };
     fleet.run(Milliseconds(20000));
-    // One ping and one answer a second, and nothing else.
+    // One Ping and one Ack per second, and nothing else.
     BOOST_TEST(fleet.datagrams <= 50U * 20U * 2U);
     BOOST_TEST(records == 0U);
 }
@@ -29,14 +29,13 @@
     fleet.members[17]->announceRevision(fleet.now);
     fleet.run(Milliseconds(1000));
     BOOST_TEST(fleet.allHold(Revision(2)));
-    // Eight announcements, and the probes of one second.
+    // Eight revision datagrams, and the probes of one second, per member.
     BOOST_TEST(fleet.datagrams <= 200U * (8U + 3U));
 }
 
-// The pattern: one of 300 members in six data centres changes its state. All hear
-// of it within two seconds, and its record crosses between data centres at most
-// twice a member.
-BOOST_AUTO_TEST_CASE(NewsStaysMostlyWithinDataCentres)
+// Scenario: one of 300 members in six data centres changes its state. All must learn of it within
+// two seconds, and its record may cross between data centres at most twice per member.
+BOOST_AUTO_TEST_CASE(UpdatesStayMostlyWithinDataCentres)
 {
     constexpr std::size_t DataCentres = 6;
     std::size_t started = 0;
@@ -56,9 +55,9 @@
     BOOST_TEST(crossed <= 600U);
 }
 
-// Random rounds of one datagram miss most members, and there are no probes;
-// the callers of a missed one would be routed by the old revision. Each is
-// reached through the members before it in the order of names.
+// A single random round with a fan-out of one misses most members, and probes are disabled; callers
+// of a missed member would be routed by the old revision. Each must get it from its predecessors in
+// name order.
 BOOST_AUTO_TEST_CASE(SuccessorsReachMissedMembers)
 {
     Memberships fleet(30, [](Membership::Options &options) {
@@ -76,8 +75,7 @@
 BOOST_AUTO_TEST_CASE(RevisionTakesThreeRoundsAt200)
 {
     Memberships fleet(200);
-    // Until no news of the start goes around any more, which would carry the
-    // revision along.
+    // Lets the updates of the start run out, whose datagrams would carry the revision as well.
     fleet.run(Milliseconds(20000));
     for (std::uint64_t number = 2; number < 12; ++number) {
         const auto source = number * 7 % 200;
@@ -114,10 +112,9 @@
     BOOST_TEST(records <= 100U * 20U);
 }
 
-// A whole fleet starts within a moment, each member with the list that a contact
-// gave it, as after a loss of power. Passed on, the lists would be most of its
-// traffic; what they say, each reads there itself.
-BOOST_AUTO_TEST_CASE(AReturningFleetTellsNoLists)
+// A whole fleet starts at once, as after a power failure, each member with the list of a contact.
+// Passing the lists on would be most of the traffic; each member reads its contact's list itself.
+BOOST_AUTO_TEST_CASE(RestartedFleetPassesOnNoMemberLists)
 {
     constexpr std::size_t Members = 60;
     Memberships fleet(Members);
--- a/autotests/unit/membershipfaulttest.cpp
+++ b/autotests/unit/membershipfaulttest.cpp
@@ -14,29 +14,28 @@
 
 }
 
-// Each datagram is lost with the given probability. Callers would see live
-// targets leave routing if a lost answer counted as a dead member.
-BOOST_AUTO_TEST_CASE(LossDoesNotGiveUpLiveMembers)
+// Each datagram is lost with the given probability. If a lost Ack counted as a dead member, live
+// targets would disappear from routing.
+BOOST_AUTO_TEST_CASE(PacketLossDoesNotRemoveLiveMembers)
 {
     for (const double loss : {0.05, 0.3}) {
         Memberships fleet(30);
         fleet.run(Settle);
         fleet.lossRatio = loss;
-        std::size_t givenUp = 0;
+        std::size_t removed = 0;
         for (int second = 0; second < 120; ++second) {
             fleet.run(Milliseconds(1000));
             for (std::size_t i = 0; i < 30; ++i) {
-                givenUp += fleet.stateSeenBy(i, (i + 1) % 30) >= MemberState::Gone ? 1 : 0;
+                removed += fleet.stateSeenBy(i, (i + 1) % 30) >= MemberState::Gone ? 1 : 0;
             }
         }
-        BOOST_TEST(givenUp == 0U);
+        BOOST_TEST(removed == 0U);
     }
 }
 
-// Datagrams arrive twice and in any order. An older state that arrives late
-// must not win: callers would be sent to a target that is draining, or a target
-// that starts anew would stay out of use.
-BOOST_AUTO_TEST_CASE(DuplicatedAndCrossedDatagramsDoNotTurnAStateBack)
+// Datagrams arrive twice and out of order. An older state that arrives late must not win: calls
+// would be sent to a draining target, or a restarted target would get none.
+BOOST_AUTO_TEST_CASE(DuplicatedAndReorderedDatagramsDoNotRevertState)
 {
     Memberships fleet(30);
     fleet.run(Settle);
@@ -52,11 +51,10 @@
     BOOST_TEST(fleet.allSee(4, MemberState::Starting));
 }
 
-// Two groups that know only themselves, as nodes that joined through contacts of
-// their own. One member hears from a contact who is in the other group; it alone
-// knows both, and unless it tells, the groups go on as two fleets, each of which
-// routes calls to its own targets only.
-BOOST_AUTO_TEST_CASE(OneMemberThatKnowsBothGroupsJoinsThem)
+// Two groups of nodes joined through different contacts and know only themselves. One member gets
+// the list of a contact in the other group. Unless it passes the list on, the groups stay separate
+// fleets that route calls to their own targets only.
+BOOST_AUTO_TEST_CASE(OneMemberThatKnowsBothGroupsMergesThem)
 {
     Memberships fleet(20);
     fleet.run(Settle);
@@ -77,9 +75,8 @@
     }
 }
 
-// Two halves lose each other until each has given the other up, then the
-// network heals, with the store down. Nobody probes a member that is gone, so
-// without probing those too the halves would stay apart for ever.
+// A partition lasts until each half has declared the other gone, then heals while the store is
+// unavailable. Unless members that are gone are probed as well, the halves stay apart for good.
 BOOST_AUTO_TEST_CASE(LongPartitionHealsWithoutTheStore)
 {
     Memberships fleet(20);
@@ -94,9 +91,9 @@
     BOOST_TEST_MESSAGE("healed after " << time.count() << " ms");
 }
 
-// One node's link fails for ten minutes. From its place all others are silent.
-// If it gave them up, its own callers would find no target though all run.
-BOOST_AUTO_TEST_CASE(IsolatedNodeDoubtsItselfFirst)
+// The link of one node fails for ten minutes, so that it receives nothing from the others. If it
+// declared them gone, its own callers would find no target although all run.
+BOOST_AUTO_TEST_CASE(IsolatedNodeKeepsOtherMembers)
 {
     Memberships fleet(20);
     fleet.run(Settle);
@@ -109,13 +106,13 @@
     BOOST_TEST(fleet.whole());
 }
 
-// A node is stopped for a minute (SIGSTOP, a stalled VM) and wakes with all
-// its timers run out. It must not give up anybody in its first step.
-BOOST_AUTO_TEST_CASE(WokenNodeGivesUpNobody)
+// A node is paused for a minute (SIGSTOP, a stalled VM) and resumes with all its timers expired. It
+// must not declare anybody gone in its first tick.
+BOOST_AUTO_TEST_CASE(ResumedNodeDeclaresNobodyGone)
 {
     Memberships fleet(20);
     fleet.run(Settle);
-    // It had just begun to suspect three members whose answers were late.
+    // Shortly before the pause, three members became suspect because their Acks were late.
     auto suspects = fleet.recordsOf(20);
     for (std::size_t i = 5; i < 8; ++i) {
         suspects[i].state = MemberState::Suspect;
@@ -130,10 +127,10 @@
     BOOST_TEST(fleet.whole());
 }
 
-// A node is restarted on a VM whose clock is an hour behind. Its incarnation
-// is below the one that all know; without refuting it from what the others
-// answer, its state would never be taken and its target stay out of use.
-BOOST_AUTO_TEST_CASE(RestartWithClockBehindWins)
+// A node restarts on a VM whose clock is an hour behind, so that its incarnation is below the known
+// one. Unless it refutes the old record that others send it, its state is never accepted and its
+// target gets no calls.
+BOOST_AUTO_TEST_CASE(RestartWithClockBehindIsAccepted)
 {
     Memberships fleet(20);
     fleet.run(Settle);
@@ -146,8 +143,8 @@
     BOOST_TEST(fleet.whole());
 }
 
-// A target drains in a fleet of 200 with one datagram in twenty lost. All must
-// know within 3 s, or new work goes to a target that is leaving.
+// A target drains in a fleet of 200 while one datagram in twenty is lost. All members must know
+// within 3 s, or new calls are sent to a target that is leaving.
 BOOST_AUTO_TEST_CASE(DrainingIsKnownEverywhereWithinThreeSecondsAt200)
 {
     Memberships fleet(200);
@@ -158,8 +155,8 @@
     BOOST_TEST(time.count() <= 3000);
 }
 
-// The node says that it leaves; then its target's health probe changes state.
-// That must not bring the node back, or callers are sent to it while it stops.
+// A node announces that it leaves, then the state of its target changes. This must not make the
+// node live again, or calls are sent to it while it stops.
 BOOST_AUTO_TEST_CASE(StateChangeAfterLeavingIsIgnored)
 {
     Memberships fleet(10);
@@ -170,9 +167,9 @@
     BOOST_TEST(fleet.allSee(3, MemberState::Left));
 }
 
-// A member that left is forgotten after a while. A record of it that is still
-// under way then must not list it again.
-BOOST_AUTO_TEST_CASE(PurgedMemberStaysAway)
+// A member that left is purged after the retention time. A record of it that arrives later must not
+// add it again.
+BOOST_AUTO_TEST_CASE(PurgedMemberIsNotAddedAgain)
 {
     Memberships fleet(10);
     fleet.run(Settle);
@@ -189,8 +186,8 @@
     }
 }
 
-// A damaged or hostile datagram claims that a member is gone, with the highest
-// incarnation there is. If it were taken, that member could never refute it.
+// A corrupt or hostile datagram claims that a member is gone, with the highest possible
+// incarnation. If it were accepted, the member could never refute it.
 BOOST_AUTO_TEST_CASE(ImplausibleRecordsAreRefused)
 {
     Memberships fleet(10);
@@ -207,9 +204,9 @@
     BOOST_TEST(!isPlausible(forged));
 }
 
-// All targets of a service are given up at once (a switch failed). A view
-// without any would refuse every call, though the targets may well run; those
-// that left by themselves stay out.
+// All targets of a service are declared gone at once, as when a switch fails. A routing view
+// without targets would reject every call although the targets may still run; only targets that
+// left themselves stay out.
 BOOST_AUTO_TEST_CASE(MassLossDoesNotEmptyRouting)
 {
     ConfigBundle bundle;
@@ -231,11 +228,10 @@
     BOOST_TEST(better->targetsOf(ServiceName("tablero")).size() == 1U);
 }
 
-// A node is stopped as planned and starts again while the store is out, so that
-// it finds nobody. The others were told that it leaves, and must look for it
-// all the same: else its target stays out of use until the store is back, and a
-// restart of one node after the other takes one target after the other away.
-BOOST_AUTO_TEST_CASE(ARestartedMemberIsFoundWithoutTheStore)
+// A node is stopped as planned and restarts while the store is unavailable, so that it knows no
+// other member. The others must probe it although it has left: otherwise its target gets no calls
+// until the store is back, and a rolling restart disables one target after the other.
+BOOST_AUTO_TEST_CASE(RestartedMemberIsFoundWithoutTheStore)
 {
     Memberships fleet(12, [](Membership::Options &options) { options.reviveInterval = Milliseconds(1000); });
     fleet.run(Settle);
@@ -251,10 +247,10 @@
     BOOST_TEST(time < Milliseconds(5000));
 }
 
-// All members but one lose power at once, and with them all that watch the store.
-// The one that is left gives nobody up for seconds, and would learn of no change
-// meanwhile. It must know soon that nobody answers, so that it watches itself.
-BOOST_AUTO_TEST_CASE(ALoneSurvivorKnowsSoonThatNobodyAnswers)
+// All members but one lose power at once, among them all watchers of the store. The survivor
+// declares nobody gone for some seconds and would miss changes meanwhile. It must detect soon that
+// nobody answers, so that it watches the store itself.
+BOOST_AUTO_TEST_CASE(LoneSurvivorDetectsSoonThatNobodyAnswers)
 {
     Memberships fleet(12);
     fleet.run(Settle);
--- a/autotests/unit/membershiptest.cpp
+++ b/autotests/unit/membershiptest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Several members joined by a network in memory. Time moves only by `run`.
+// Several members connected by an in-memory network. Time advances only in `run`.
 class Network
 {
 public:
@@ -94,7 +94,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingIsKnownEverywhereWithinThreeSeconds)
+BOOST_AUTO_TEST_CASE(DrainingIsKnownEverywhereWithinASecond)
 {
     Network network(30);
     network.run(Milliseconds(3000));
@@ -105,7 +105,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(DeadMemberIsFoundAndForgotten)
+BOOST_AUTO_TEST_CASE(DeadMemberIsDeclaredGone)
 {
     Network network(10);
     network.run(Milliseconds(3000));
@@ -118,10 +118,9 @@
     }
 }
 
-// A member is paused past the suspicion timeout and declared gone, then wakes.
-// Without refuting with a higher incarnation it would stay out of use though
-// it runs.
-BOOST_AUTO_TEST_CASE(WokenMemberRefutesItsDeath)
+// A member is paused beyond the suspicion timeout and declared gone, then resumes. Unless it
+// refutes this with a higher incarnation, its target gets no calls although it runs.
+BOOST_AUTO_TEST_CASE(ResumedMemberRefutesBeingGone)
 {
     Network network(10);
     network.run(Milliseconds(3000));
--- a/autotests/unit/readinessgatetest.cpp
+++ b/autotests/unit/readinessgatetest.cpp
@@ -13,10 +13,10 @@
 
 }
 
-// A node starts and hears revision 6 from a member that is behind, while the
-// store holds 7. Callers would be routed by the older one, which the node's
-// predecessor had left.
-BOOST_AUTO_TEST_CASE(WaitsForTheStoresRevision)
+// A starting node sees revision 6 advertised by a member that is behind, while the store holds 7.
+// With 6, callers would be routed by a configuration that the node's predecessor had already
+// replaced.
+BOOST_AUTO_TEST_CASE(WaitsForTheRevisionOfTheStore)
 {
     ReadinessGate gate;
     gate.memberHeard(member(1), Revision(6));
@@ -26,9 +26,9 @@
     BOOST_TEST(gate.open(Revision(7), 10));
 }
 
-// The store is out when the node starts. The first member that it meets is
-// behind; two more are not. Going by the first alone would serve revision 6.
-BOOST_AUTO_TEST_CASE(AsksSeveralMembersWithTheStoreOut)
+// The store is unavailable when the node starts. The first member that advertises a revision is
+// behind, two others aren't. Relying on the first alone would serve revision 6.
+BOOST_AUTO_TEST_CASE(NeedsSeveralMembersWithoutTheStore)
 {
     ReadinessGate gate;
     gate.storeFailed();
@@ -51,7 +51,7 @@
     BOOST_TEST(gate.open(Revision(3), 1));
 }
 
-BOOST_AUTO_TEST_CASE(EmptyStoreOpens)
+BOOST_AUTO_TEST_CASE(EmptyStoreMakesReady)
 {
     ReadinessGate gate;
     gate.storeAnswered(Revision(0));
--- a/autotests/unit/revisionholdertest.cpp
+++ b/autotests/unit/revisionholdertest.cpp
@@ -16,9 +16,9 @@
 
 }
 
-// Updates cross in flight: revision 4 arrives after 5. Taking it would move
-// the node back to a configuration that operators have replaced.
-BOOST_AUTO_TEST_CASE(NeverTakesAnOlderRevision)
+// Updates are reordered in flight: revision 4 arrives after 5. Adopting it would revert the node to
+// a configuration that operators have replaced.
+BOOST_AUTO_TEST_CASE(NeverAdoptsAnOlderRevision)
 {
     RevisionHolder holder;
     BOOST_TEST((holder.offer(revision(5)) == RevisionHolder::Verdict::Taken));
--- a/autotests/unit/revisionpullertest.cpp
+++ b/autotests/unit/revisionpullertest.cpp
@@ -20,9 +20,9 @@
 
 }
 
-// The member that told of the revision dies before it is asked. Callers of
-// this node would see the old configuration until some later datagram.
-BOOST_FIXTURE_TEST_CASE(FailedFetchGoesToAnotherMemberAtOnce, Fixture)
+// The member that advertised the revision dies before the pull. Callers of this node would be
+// routed by the old configuration until some later datagram shows the revision.
+BOOST_FIXTURE_TEST_CASE(FailedPullIsRetriedAtAnotherMemberAtOnce, Fixture)
 {
     puller.heard(first, Revision(5), now);
     puller.heard(second, Revision(5), now);
@@ -32,9 +32,9 @@
     BOOST_TEST((asked.back() == second));
 }
 
-// The member asked is frozen: it accepts the connection and never answers.
-// After a short time another one is asked beside it, but no more than two.
-BOOST_FIXTURE_TEST_CASE(SlowFetchIsHedged, Fixture)
+// The member asked is paused: it accepts the connection and never answers. After a short time
+// another one is asked in parallel, but no more than two at once.
+BOOST_FIXTURE_TEST_CASE(SlowPullIsHedged, Fixture)
 {
     puller.heard(first, Revision(5), now);
     puller.heard(second, Revision(5), now);
@@ -47,8 +47,8 @@
     BOOST_TEST(asked.size() == 2U);
 }
 
-// A crossed or duplicated datagram shows a revision that is held already.
-BOOST_FIXTURE_TEST_CASE(HeldRevisionIsNotFetched, Fixture)
+// A reordered or duplicated datagram advertises a revision that this node already holds.
+BOOST_FIXTURE_TEST_CASE(HeldRevisionIsNotPulled, Fixture)
 {
     held = Revision(5);
     puller.heard(first, Revision(5), now);
@@ -56,8 +56,8 @@
     BOOST_TEST(asked.empty());
 }
 
-// While revision 5 is on its way, 6 is heard: the fetch of 5 doesn't end it.
-BOOST_FIXTURE_TEST_CASE(NewerRevisionIsFetchedAfterwards, Fixture)
+// Revision 6 is advertised while 5 is being pulled: the end of that pull doesn't end the search.
+BOOST_FIXTURE_TEST_CASE(NewerRevisionIsPulledAfterwards, Fixture)
 {
     puller.heard(first, Revision(5), now);
     puller.heard(second, Revision(6), now);
@@ -69,34 +69,34 @@
     BOOST_TEST(asked.size() == 2U);
 }
 
-// A watcher of the store hears from a member of a revision that its own watch
-// is about to bring. It waits for that one as long as it may, and fetches only
-// then: the watch may hang. One that doesn't watch fetches at once.
-BOOST_FIXTURE_TEST_CASE(AWatcherGivesItsOwnWatchSomeTime, Fixture)
+// A member advertises a revision that the node's own store watch is about to deliver. A watcher waits for
+// its watch during the grace period and pulls only afterwards, since the watch may hang. A node
+// that doesn't watch pulls at once.
+BOOST_FIXTURE_TEST_CASE(WatcherPullsAfterTheGracePeriod, Fixture)
 {
     bool watches = true;
-    RevisionPuller patient({.patience = [&] { return Milliseconds(watches ? 800 : 0); },
+    RevisionPuller watcher({.patience = [&] { return Milliseconds(watches ? 800 : 0); },
         .pull = [this](const Endpoint &peer) { asked.push_back(peer); },
         .held = [this] { return held; }});
-    patient.heard(first, Revision(5), now);
-    patient.tick(now + Milliseconds(700));
+    watcher.heard(first, Revision(5), now);
+    watcher.tick(now + Milliseconds(700));
     BOOST_TEST(asked.empty());
-    patient.tick(now + Milliseconds(900));
+    watcher.tick(now + Milliseconds(900));
     BOOST_TEST(asked.size() == 1U);
-    patient.ended(first, now + Milliseconds(950));
+    watcher.ended(first, now + Milliseconds(950));
     held = Revision(5);
     watches = false;
-    patient.heard(second, Revision(6), now + Milliseconds(2000));
+    watcher.heard(second, Revision(6), now + Milliseconds(2000));
     BOOST_TEST(asked.size() == 2U);
 }
 
-// The watch brings the revision within its time: nothing is fetched.
-BOOST_FIXTURE_TEST_CASE(NothingIsFetchedThatTheWatchBrought, Fixture)
+// The watch delivers the revision within the grace period: nothing is pulled.
+BOOST_FIXTURE_TEST_CASE(RevisionDeliveredByTheWatchIsNotPulled, Fixture)
 {
-    RevisionPuller patient(
+    RevisionPuller watcher(
         {.patience = [] { return Milliseconds(800); }, .pull = [this](const Endpoint &peer) { asked.push_back(peer); }, .held = [this] { return held; }});
-    patient.heard(first, Revision(5), now);
+    watcher.heard(first, Revision(5), now);
     held = Revision(5);
-    patient.tick(now + Milliseconds(900));
+    watcher.tick(now + Milliseconds(900));
     BOOST_TEST(asked.empty());
 }
--- a/autotests/unit/targetregistrationtest.cpp
+++ b/autotests/unit/targetregistrationtest.cpp
@@ -45,9 +45,9 @@
 
 }
 
-// A target says that it drains, and the node acknowledges it. An earlier
-// heartbeat that a partition held up arrives only then. Taken for news, it would
-// open the door to a target that was promised no more calls.
+// A target announces that it drains, and the node acknowledges it. An earlier heartbeat, delayed by
+// a partition, arrives afterwards. If it were accepted, calls would be sent to a target that was
+// promised no more.
 BOOST_AUTO_TEST_CASE(LeavingIsFinalForOneStart)
 {
     auto target = registration(true);
@@ -60,9 +60,9 @@
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
-// The draining heartbeat overtakes an earlier one. Its number is behind what is
-// known then, but what it says stays true.
-BOOST_AUTO_TEST_CASE(ADrainingHeartbeatCountsHoweverLate)
+// The draining heartbeat arrives after a later one. Its sequence is out of date, but the target is
+// draining all the same.
+BOOST_AUTO_TEST_CASE(DrainingHeartbeatCountsHoweverLate)
 {
     auto target = registration(true);
     target.announced(announcement("i-1", 100, 5), Start);
@@ -70,10 +70,9 @@
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
-// A target starts again under the id that it had: its numbers begin anew, and
-// only the time of its start tells. What the start before it still says, late,
-// changes nothing.
-BOOST_AUTO_TEST_CASE(ALaterStartReplacesAnEarlierOneOfTheSameId)
+// A target restarts under its previous id: its sequence starts anew, and only the start time tells
+// the two starts apart. Late messages of the earlier start change nothing.
+BOOST_AUTO_TEST_CASE(LaterStartReplacesAnEarlierOneOfTheSameId)
 {
     auto target = registration(true);
     target.announced(announcement("i-1", 100, 50), Start);
@@ -85,10 +84,9 @@
     BOOST_TEST(target.state(Start) == MemberState::Ready);
 }
 
-// The node was killed after it had acknowledged that the target leaves. The
-// process that takes its place hears a heartbeat that was under way all the
-// while. It must not send calls before the target itself has been asked.
-BOOST_AUTO_TEST_CASE(ARestartedNodeAsksBeforeTheFirstCall)
+// The node was killed after it had acknowledged that the target leaves. Its next process receives a
+// heartbeat sent before that. It must not send calls before the target has passed a health check.
+BOOST_AUTO_TEST_CASE(RestartedNodeChecksHealthBeforeTheFirstCall)
 {
     auto target = registration(false);
     target.announced(announcement("i-1", 100, 7), Start);
@@ -102,8 +100,8 @@
     BOOST_TEST(target.state(Start) == MemberState::Ready);
 }
 
-// The leaving arrives before any heartbeat does, and a late heartbeat after it.
-BOOST_AUTO_TEST_CASE(ATargetThatLeftUnheardStaysOut)
+// The leaving message arrives before any heartbeat, and a late heartbeat after it.
+BOOST_AUTO_TEST_CASE(TargetThatLeftBeforeItsAnnouncementStaysDraining)
 {
     auto target = registration(true);
     target.left("i-1", std::nullopt);
@@ -111,9 +109,9 @@
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
-// A crashed target says nothing; the node notices by silence or by a refused
-// connection, and takes it back with its next word.
-BOOST_AUTO_TEST_CASE(SilentAndLostTargetsComeBackWithTheirNextWord)
+// A crashed target sends nothing; the node notices by the heartbeat timeout or by a refused
+// connection, and accepts it again with its next heartbeat.
+BOOST_AUTO_TEST_CASE(SilentAndLostTargetsAreReadyWithTheirNextHeartbeat)
 {
     auto target = registration(true);
     target.announced(announcement("i-1", 100, 1), Start);
@@ -127,7 +125,7 @@
     BOOST_TEST(target.state(later) == MemberState::Ready);
 }
 
-BOOST_AUTO_TEST_CASE(AnotherVmsTargetIsForeign)
+BOOST_AUTO_TEST_CASE(TargetOfAnotherVmIsForeign)
 {
     auto target = registration(true);
     auto elsewhere = announcement("i-1", 100, 1);
--- a/autotests/unit/targetspreadtest.cpp
+++ b/autotests/unit/targetspreadtest.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::uint64_t Seeds[] = {1, 2};
 
-// A data centre is worse off than the others beyond this.
-constexpr double MaxBehind = 0.02;
+// Maximum by which a data centre's ratio of served calls may fall short of the fleet's.
+constexpr double MaxShortfall = 0.02;
 
 constexpr double MaxBusiestToMean = 1.3;
 
@@ -22,18 +22,18 @@
     return options;
 }
 
-FleetLoad::Result played(FleetLoad::Options options)
+FleetLoad::Result simulate(FleetLoad::Options options)
 {
     return FleetLoad(std::move(options)).run();
 }
 
-double worstBehind(const FleetLoad::Result &result)
+double maxShortfall(const FleetLoad::Result &result)
 {
-    double behind = 0;
+    double shortfall = 0;
     for (std::size_t i = 0; i < result.callsOf.size(); ++i) {
-        behind = std::max(behind, result.served() - result.served(i));
+        shortfall = std::max(shortfall, result.served() - result.served(i));
     }
-    return behind;
+    return shortfall;
 }
 
 double share(std::size_t part, const FleetLoad::Result &result)
@@ -43,72 +43,72 @@
 
 }
 
-// The pattern: callers are spread unevenly over six data centres, so that two need
-// more slots than they have while the fleet has room.
-BOOST_AUTO_TEST_CASE(AFullDataCentreSendsItsExcessToOthers)
+// Scenario: callers are distributed unevenly over six data centres, so that two of them need more
+// slots than they have while the fleet has free ones.
+BOOST_AUTO_TEST_CASE(FullDataCentreSendsItsExcessToOthers)
 {
     for (const auto seed : Seeds) {
         auto options = largeFleet(seed);
         options.arrivals = {0.87, 1.06, 0.82, 0.93, 1.19, 1.13};
-        const auto result = played(options);
-        BOOST_TEST(worstBehind(result) <= MaxBehind);
+        const auto result = simulate(options);
+        BOOST_TEST(maxShortfall(result) <= MaxShortfall);
         BOOST_TEST(result.busiestToMean() <= MaxBusiestToMean);
         // Twice the share of calls that exceed the slots of their data centre.
         BOOST_TEST(share(result.crossed, result) <= 0.05);
     }
 }
 
-// The pattern: most targets of one data centre are gone, so that the rest is full
-// all the time and a hundred targets elsewhere have room.
+// Scenario: most targets of one data centre are gone, so that the others there are full all the
+// time while a hundred targets elsewhere have free slots.
 BOOST_AUTO_TEST_CASE(CallersOfLostTargetsAreServedElsewhere)
 {
     for (const auto seed : Seeds) {
         auto options = largeFleet(seed);
         options.load = 0.65;
         options.missing = 12;
-        const auto result = played(options);
+        const auto result = simulate(options);
         BOOST_TEST(result.served() >= 0.98);
-        BOOST_TEST(worstBehind(result) <= MaxBehind);
+        BOOST_TEST(maxShortfall(result) <= MaxShortfall);
     }
 }
 
-// The pattern: every data centre is full. Crossing would gain nothing.
-BOOST_AUTO_TEST_CASE(CallsStayWhereNoDataCentreHasRoom)
+// Scenario: every data centre is full. Sending calls to another one gains nothing.
+BOOST_AUTO_TEST_CASE(CallsStayLocalIfNoDataCentreHasFreeSlots)
 {
     for (const auto seed : Seeds) {
         auto options = largeFleet(seed);
         options.load = 1.3;
-        const auto result = played(options);
+        const auto result = simulate(options);
         BOOST_TEST(result.served() >= 0.95 / options.load);
         BOOST_TEST(share(result.crossed, result) <= 0.1);
     }
 }
 
-// The pattern: a calm fleet.
-BOOST_AUTO_TEST_CASE(CallsStayInADataCentreWithRoom)
+// Scenario: a lightly loaded fleet.
+BOOST_AUTO_TEST_CASE(CallsStayInADataCentreWithFreeSlots)
 {
     auto options = largeFleet(1);
     options.load = 0.6;
-    const auto result = played(options);
+    const auto result = simulate(options);
     BOOST_TEST(share(result.crossed, result) <= 0.005);
     BOOST_TEST(share(result.refused, result) <= 0.005);
 }
 
-// Guards against a fleet that depends on its load reports.
-BOOST_AUTO_TEST_CASE(WithoutReportsIngressesGoByAnswers)
+// Guards against a fleet that depends on load reports.
+BOOST_AUTO_TEST_CASE(WithoutReportsIngressesRelyOnResponses)
 {
     auto silent = largeFleet(1);
     silent.silentFrom = Milliseconds(0);
     auto none = largeFleet(1);
     none.exchange = false;
-    BOOST_TEST(played(silent).served() >= played(none).served() - 0.01);
+    BOOST_TEST(simulate(silent).served() >= simulate(none).served() - 0.01);
 
     auto lost = largeFleet(1);
     lost.silentFrom = Milliseconds(1500);
-    BOOST_TEST(played(lost).served() >= played(none).served() - 0.01);
+    BOOST_TEST(simulate(lost).served() >= simulate(none).served() - 0.01);
 }
 
-BOOST_AUTO_TEST_CASE(OtherServicesAndFleetsAreServedAsWell)
+BOOST_AUTO_TEST_CASE(OtherServicesAndFleetSizesAreServedAsWell)
 {
     struct Case
     {
@@ -136,9 +136,9 @@
         options.longestWait = Milliseconds(static_cast<std::int64_t>(each.workMs / 2));
         options.load = 0.7;
         options.length = each.length;
-        const auto with = played(options);
+        const auto with = simulate(options);
         options.exchange = false;
-        const auto without = played(options);
+        const auto without = simulate(options);
         BOOST_TEST(with.served() >= without.served() - 0.01, each.name << ": " << with.served() << " with reports, " << without.served() << " without");
     }
 }
--- a/autotests/unit/watcherchoicetest.cpp
+++ b/autotests/unit/watcherchoicetest.cpp
@@ -17,7 +17,7 @@
     return record;
 }
 
-// Four data centres with so many fast members each, and ten slow ones.
+// Four data centres, each with `fast` members on fast links and ten on slow ones.
 std::vector<MemberRecord> fleet(int fast, std::uint32_t fastMbps = 100)
 {
     std::vector<MemberRecord> members;
@@ -29,7 +29,7 @@
     return members;
 }
 
-// Watchers by the speed of their links.
+// Number of watchers by the bandwidth of their links.
 std::map<std::uint32_t, int> watchers(const std::vector<MemberRecord> &members)
 {
     std::map<std::uint32_t, int> chosen;
@@ -41,18 +41,18 @@
 
 }
 
-// The pattern: a storm of changes to a large configuration, and most VMs on links of
-// 5 Mbit/s. Watching, such a VM's link carries two documents a second and nothing
-// else. Two of each data centre have 100 Mbit/s.
-BOOST_AUTO_TEST_CASE(FastLinksWatchWhereThereAreEnough)
+// Scenario: frequent changes to a large configuration, and most VMs on links of 5 Mbit/s. If such a
+// VM watched the store, its link would carry two documents per second and nothing else. Two VMs of
+// each data centre have 100 Mbit/s.
+BOOST_AUTO_TEST_CASE(FastLinksWatchIfThereAreEnough)
 {
     const auto chosen = watchers(fleet(2));
     BOOST_TEST(chosen.at(100) == 8);
     BOOST_TEST(chosen.at(5) == 0);
 }
 
-// The pattern: a fleet with many data centres. Watchers in proportion to them would
-// multiply the calls to the store with each change.
+// Scenario: a fleet with many data centres. If the number of watchers grew in proportion, each
+// change would multiply the calls to the store.
 BOOST_AUTO_TEST_CASE(ManyDataCentresShareTheWatchers)
 {
     for (const int dataCentres : {6, 8, 20}) {
@@ -66,17 +66,17 @@
     }
 }
 
-// One fast member in each data centre is too few: all of them may be lost at once.
-BOOST_AUTO_TEST_CASE(SlowLinksWatchWhereFastOnesAreFew)
+// One member with a fast link in each data centre is too few: all of them may be lost at once.
+BOOST_AUTO_TEST_CASE(SlowLinksWatchIfFastOnesAreFew)
 {
     const auto chosen = watchers(fleet(1));
     BOOST_TEST(chosen.at(100) + chosen.at(5) == 16);
     BOOST_TEST(chosen.at(5) >= 12);
 }
 
-// With links that are alike four of each data centre watch, as they do where nobody
-// says how fast its link is.
-BOOST_AUTO_TEST_CASE(AlikeLinksShareTheRole)
+// With links of equal bandwidth four members of each data centre watch, also if no bandwidth is
+// known.
+BOOST_AUTO_TEST_CASE(EqualLinksShareTheRole)
 {
     for (const std::uint32_t link : {0U, 1000U}) {
         auto members = fleet(2);
@@ -87,8 +87,7 @@
     }
 }
 
-// The fast ones die together. Those that are left take over as soon as they count
-// as suspect.
+// The members with fast links die together. The others take over as soon as those are suspect.
 BOOST_AUTO_TEST_CASE(SlowLinksTakeOver)
 {
     auto members = fleet(2);
--- a/src/core/fleet/clockwatch.cpp
+++ b/src/core/fleet/clockwatch.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Slewing by time synchronisation stays below this between two readings.
-constexpr Milliseconds LeastStep{500};
+// Time synchronisation that slews the clock changes it by less than this between two readings.
+constexpr Milliseconds MinStep{500};
 
 }
 
@@ -15,7 +15,7 @@
     const auto drift = std::chrono::duration_cast<Milliseconds>((timeOfDay - m_timeOfDay) - (steady - m_steady));
     m_timeOfDay = timeOfDay;
     m_steady = steady;
-    if (first || std::chrono::abs(drift) < LeastStep) {
+    if (first || std::chrono::abs(drift) < MinStep) {
         return Milliseconds(0);
     }
     ++m_steps;
--- a/src/core/fleet/clockwatch.h
+++ b/src/core/fleet/clockwatch.h
@@ -6,18 +6,18 @@
 
 namespace Galenahill {
 
-// Finds steps of the time of day by comparing it with the steady clock. A VM that
-// was suspended shows as a step forward. Holds no clock itself.
+// Detects steps of the time of day by comparing it with the steady clock. A suspended VM shows as a
+// step forward. Callers pass the readings in.
 class ClockWatch
 {
 public:
     using TimeOfDay = std::chrono::system_clock::time_point;
 
-    // Takes one reading of both clocks, and tells by how much the time of day has
-    // stepped since the last one; zero for none.
+    // Compares a reading of both clocks with the previous one. Returns by how much the time of day
+    // has stepped in between, zero if it has not.
     Milliseconds observe(TimeOfDay timeOfDay, TimePoint steady);
 
-    // Steps so far.
+    // Number of steps detected so far.
     std::uint64_t steps() const;
 
 private:
--- a/src/core/fleet/gossipmessage.h
+++ b/src/core/fleet/gossipmessage.h
@@ -7,29 +7,29 @@
 namespace Galenahill {
 
 enum class GossipKind : std::uint8_t {
-    // Asks for an Ack with the same sequence.
+    // Requests an Ack with the same sequence.
     Ping,
-    // Asks the receiver to ping `subject` and to pass the Ack on.
+    // Asks the receiver to ping `subject` and to relay the Ack.
     PingRequest,
     // Answers a Ping.
     Ack,
-    // Carries news only; not answered.
+    // Carries updates and the sender's revision; not answered.
     News,
-    // Asks for News with the receiver's own record, which the sender lacks.
+    // Requests an Update with the receiver's own record, which the sender lacks.
     Introduce,
 };
 
-// One datagram between nodes. Each carries the sender's revision, so any
-// exchange shows a node that it is behind. The sender is known by the address
-// that the datagram came from; its whole record travels only on request.
+// One datagram between nodes. Each carries the sender's revision, so that any exchange shows a node
+// whether it is behind. The sender is identified by the source address of the datagram; its full
+// record is sent only on request.
 struct GossipMessage
 {
     GossipKind kind = GossipKind::News;
     std::uint32_t sequence = 0;
-    // What the sender says of itself.
+    // Incarnation and state of the sender.
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::Starting;
-    // Only in a PingRequest: whom to ping.
+    // Only in a PingRequest: the member to ping.
     Endpoint subject;
     Revision revision;
     std::vector<MemberRecord> updates;
--- a/src/core/fleet/gossippeers.cpp
+++ b/src/core/fleet/gossippeers.cpp
@@ -11,11 +11,11 @@
 {
 }
 
-std::vector<MemberRecord> GossipPeers::anywhere(std::size_t count, const Condition &wanted) const
+std::vector<MemberRecord> GossipPeers::anywhere(std::size_t count, const Condition &condition) const
 {
     std::vector<MemberRecord> candidates;
     for (const auto &[name, member] : m_members.all()) {
-        if (wanted(member)) {
+        if (condition(member)) {
             candidates.push_back(member.record);
         }
     }
@@ -24,22 +24,22 @@
     return chosen;
 }
 
-// Peers chosen at random are mostly in other data centres. Chosen within each, with some
-// members that send across, news takes about as long for a fraction of the bytes
-// between data centres.
-std::vector<MemberRecord> GossipPeers::mostlyNear(std::size_t count, const Condition &wanted) const
+// Peers chosen uniformly from the whole fleet are mostly in other data centres. Choosing within the
+// data centre, while some members send across, spreads updates about as fast for a fraction of the
+// bytes between data centres.
+std::vector<MemberRecord> GossipPeers::mostlyNear(std::size_t count, const Condition &condition) const
 {
-    const auto isNear = [this](const MemberTable::Member &member) { return member.record.dataCentre == m_options.dataCentre; };
+    const auto isLocal = [this](const MemberTable::Member &member) { return member.record.dataCentre == m_options.dataCentre; };
     const auto &all = m_members.all();
-    const auto nearMembers = 1 + static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const auto &entry) { return isNear(entry.second); }));
-    const auto share = std::min(1.0, static_cast<double>(m_options.bridgesPerDataCentre) / static_cast<double>(nearMembers));
-    const bool bridges = std::bernoulli_distribution(share)(m_random);
-    auto far = anywhere(count, [&](const MemberTable::Member &member) { return wanted(member) && !isNear(member); });
-    const std::size_t toFar = bridges && !far.empty() ? 1 : 0;
-    auto peers = anywhere(count - toFar, [&](const MemberTable::Member &member) { return wanted(member) && isNear(member); });
-    const bool fewNear = nearMembers <= count;
-    far.resize(std::min(far.size(), fewNear ? count - peers.size() : toFar));
-    peers.insert(peers.end(), far.begin(), far.end());
+    const auto localMembers = 1 + static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const auto &entry) { return isLocal(entry.second); }));
+    const auto share = std::min(1.0, static_cast<double>(m_options.bridgesPerDataCentre) / static_cast<double>(localMembers));
+    const bool isBridge = std::bernoulli_distribution(share)(m_random);
+    auto remote = anywhere(count, [&](const MemberTable::Member &member) { return condition(member) && !isLocal(member); });
+    const std::size_t remoteCount = isBridge && !remote.empty() ? 1 : 0;
+    auto peers = anywhere(count - remoteCount, [&](const MemberTable::Member &member) { return condition(member) && isLocal(member); });
+    const bool fewLocal = localMembers <= count;
+    remote.resize(std::min(remote.size(), fewLocal ? count - peers.size() : remoteCount));
+    peers.insert(peers.end(), remote.begin(), remote.end());
     return peers;
 }
 
--- a/src/core/fleet/gossippeers.h
+++ b/src/core/fleet/gossippeers.h
@@ -8,7 +8,7 @@
 
 namespace Galenahill {
 
-// Chooses random members of a table, as peers of one round of a protocol.
+// Selects random members of a table as the peers of one protocol round.
 class GossipPeers
 {
 public:
@@ -17,19 +17,20 @@
     struct Options
     {
         DataCentre dataCentre;
-        // Members of the data centre that tell another one in a round, on average.
-        // Of a smaller data centre all do.
+        // Average number of members of a data centre that send to another one in a round. In a
+        // smaller data centre all members do.
         std::uint32_t bridgesPerDataCentre = 8;
     };
 
     GossipPeers(const MemberTable &members, std::mt19937_64 &random, Options options);
 
-    // Any members for which the condition holds.
-    std::vector<MemberRecord> anywhere(std::size_t count, const Condition &wanted) const;
+    // Random members of any data centre that meet the condition.
+    std::vector<MemberRecord> anywhere(std::size_t count, const Condition &condition) const;
 
-    // Members of the own data centre, but for one of another now and then; more of
-    // those if the own one is smaller than the count.
-    std::vector<MemberRecord> mostlyNear(std::size_t count, const Condition &wanted) const;
+    // Random members of the local data centre that meet the condition, one of them now and then
+    // replaced by a member of another data centre. If the local data centre has no more than
+    // `count` members, other ones fill the rest.
+    std::vector<MemberRecord> mostlyNear(std::size_t count, const Condition &condition) const;
 
 private:
     const MemberTable &m_members;
--- a/src/core/fleet/loadexchange.cpp
+++ b/src/core/fleet/loadexchange.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Values above these are errors of the sender.
+// Higher values can only be errors of the sender.
 constexpr std::uint32_t MaxCalls = 1'000'000;
 constexpr std::uint32_t MaxWaitMs = 60'000;
 
-// Targets and pools in one report, so that it fits a datagram.
+// Maximum number of targets and pools in one report, so that it fits into a datagram.
 constexpr std::size_t MaxTargets = 80;
 constexpr std::size_t MaxPools = 40;
 
@@ -56,11 +56,11 @@
     Options options;
     std::mt19937_64 random;
     std::unordered_map<NodeName, MemberRecord> members;
-    std::unordered_set<std::string> senders;
+    std::unordered_set<std::string> knownSenders;
     std::unordered_set<DataCentre> dataCentres;
     std::unordered_set<ServiceName> services;
-    std::vector<Endpoint> near;
-    std::vector<Endpoint> far;
+    std::vector<Endpoint> localPeers;
+    std::vector<Endpoint> remotePeers;
     std::unordered_map<NodeName, KnownTarget> targets;
     std::map<PoolKey, KnownPool> pools;
     TimePoint lastReport;
@@ -69,10 +69,10 @@
 
     void receiveTarget(const TargetReport &report, TimePoint now);
     void receivePool(const PoolReport &report, TimePoint now);
-    void observeOwn(TimePoint now);
-    void sumOwnPools(TimePoint now);
-    void forgetOld(TimePoint now);
-    LoadReport nearReport(TimePoint now);
+    void recordLocalLoad(TimePoint now);
+    void sumLocalPools(TimePoint now);
+    void expireOld(TimePoint now);
+    LoadReport localReport(TimePoint now);
     LoadReport remoteReport(TimePoint now) const;
 };
 
@@ -105,27 +105,27 @@
 void LoadExchange::setMembers(const std::vector<MemberRecord> &members)
 {
     d->members.clear();
-    d->senders.clear();
+    d->knownSenders.clear();
     d->dataCentres.clear();
     d->services.clear();
-    d->near.clear();
-    d->far.clear();
+    d->localPeers.clear();
+    d->remotePeers.clear();
     for (const auto &member : members) {
         d->members.emplace(member.name, member);
         d->services.insert(member.service);
         if (member.name == d->options.self.name) {
             continue;
         }
-        d->senders.insert(toString(member.control()));
+        d->knownSenders.insert(toString(member.control()));
         d->dataCentres.insert(member.dataCentre);
-        (member.dataCentre == d->options.self.dataCentre ? d->near : d->far).push_back(member.control());
+        (member.dataCentre == d->options.self.dataCentre ? d->localPeers : d->remotePeers).push_back(member.control());
     }
     std::erase_if(d->targets, [this](const auto &entry) { return !d->members.contains(entry.first); });
 }
 
 void LoadExchange::receive(const Endpoint &from, const LoadReport &report, TimePoint now)
 {
-    if (!d->senders.contains(toString(from)) || report.targets.size() > MaxTargets || report.pools.size() > MaxPools) {
+    if (!d->knownSenders.contains(toString(from)) || report.targets.size() > MaxTargets || report.pools.size() > MaxPools) {
         ++d->dropped;
         return;
     }
@@ -144,7 +144,7 @@
     }
     const auto member = members.find(report.target);
     const bool unknown = member == members.end() || member->second.dataCentre != options.self.dataCentre;
-    // A restarted target has nothing in common with its former incarnation.
+    // The load of an earlier incarnation says nothing about a restarted target.
     if (unknown || report.incarnation < member->second.incarnation || !inRange(report.calls, report.limit, report.waitMs)) {
         ++dropped;
         return;
@@ -183,9 +183,9 @@
     options.poolLoad(report, observed);
 }
 
-// A target without slots isn't reported: the members' states spread that at once, and a
-// report of it would hold calls back from a target that has just become ready.
-void LoadExchange::Private::observeOwn(TimePoint now)
+// A target with a concurrency limit of zero isn't reported: membership spreads its state at once,
+// and a report would keep calls away from a target that has just become ready.
+void LoadExchange::Private::recordLocalLoad(TimePoint now)
 {
     const auto own = options.ownLoad();
     if (own.load.limit == 0) {
@@ -200,13 +200,13 @@
         now};
 }
 
-void LoadExchange::Private::forgetOld(TimePoint now)
+void LoadExchange::Private::expireOld(TimePoint now)
 {
     std::erase_if(targets, [&](const auto &entry) { return now - entry.second.observed > options.maxTargetAge; });
     std::erase_if(pools, [&](const auto &entry) { return now - entry.second.observed > options.maxPoolAge; });
 }
 
-void LoadExchange::Private::sumOwnPools(TimePoint now)
+void LoadExchange::Private::sumLocalPools(TimePoint now)
 {
     struct Sum
     {
@@ -215,20 +215,20 @@
         std::uint32_t targets = 0;
         TimePoint oldest = TimePoint::max();
     };
-    std::map<ServiceName, Sum> sums;
+    std::map<ServiceName, Sum> sumsByService;
     for (const auto &[name, known] : targets) {
         const auto member = members.find(name);
         if (member == members.end() || known.report.limit == 0) {
             continue;
         }
-        auto &sum = sums[member->second.service];
+        auto &sum = sumsByService[member->second.service];
         sum.report.calls += known.report.calls;
         sum.report.limit += known.report.limit;
         sum.waitMs += known.report.waitMs;
         ++sum.targets;
         sum.oldest = std::min(sum.oldest, known.observed);
     }
-    for (auto &[service, sum] : sums) {
+    for (auto &[service, sum] : sumsByService) {
         sum.report.dataCentre = options.self.dataCentre;
         sum.report.service = service;
         sum.report.waitMs = static_cast<std::uint32_t>(sum.waitMs / sum.targets);
@@ -237,8 +237,8 @@
     }
 }
 
-// In a data centre with more targets than fit, each report has others.
-LoadReport LoadExchange::Private::nearReport(TimePoint now)
+// If a data centre has more targets than fit into a report, each report carries a random selection.
+LoadReport LoadExchange::Private::localReport(TimePoint now)
 {
     std::vector<const KnownTarget *> others;
     LoadReport report;
@@ -282,23 +282,23 @@
         return;
     }
     d->lastReport = now;
-    d->forgetOld(now);
-    d->observeOwn(now);
-    d->sumOwnPools(now);
-    if (!d->near.empty()) {
-        const auto report = d->nearReport(now);
+    d->expireOld(now);
+    d->recordLocalLoad(now);
+    d->sumLocalPools(now);
+    if (!d->localPeers.empty()) {
+        const auto report = d->localReport(now);
         std::vector<Endpoint> peers;
-        std::sample(d->near.begin(), d->near.end(), std::back_inserter(peers), d->options.fanOut, d->random);
+        std::sample(d->localPeers.begin(), d->localPeers.end(), std::back_inserter(peers), d->options.fanOut, d->random);
         for (const auto &peer : peers) {
             d->options.send(peer, report);
         }
     }
-    if (!d->far.empty() && now >= d->nextRemote) {
-        // Spread, so that the members of a data centre don't report at once.
+    if (!d->remotePeers.empty() && now >= d->nextRemote) {
+        // Jittered, so that the members of a data centre don't all report at once.
         std::uniform_int_distribution<std::int64_t> jitter(d->options.remoteInterval.count() / 2, d->options.remoteInterval.count() * 3 / 2);
         d->nextRemote = now + Milliseconds(jitter(d->random));
-        std::uniform_int_distribution<std::size_t> index(0, d->far.size() - 1);
-        d->options.send(d->far[index(d->random)], d->remoteReport(now));
+        std::uniform_int_distribution<std::size_t> index(0, d->remotePeers.size() - 1);
+        d->options.send(d->remotePeers[index(d->random)], d->remoteReport(now));
     }
 }
 
--- a/src/core/fleet/loadexchange.h
+++ b/src/core/fleet/loadexchange.h
@@ -10,16 +10,16 @@
 
 namespace Galenahill {
 
-// Load of the target beside this node.
+// Load of the target beside this node, and the expected wait of a further call for a slot.
 struct OwnLoad
 {
     TargetLoad load;
     Milliseconds wait{0};
 };
 
-// Spreads the load of targets by gossip: each target's load within its data
-// centre, sums by service to the other data centres. Single-threaded; time comes
-// in through arguments and reports leave through a hook.
+// Exchanges the load of targets by gossip: the load of each target within its data centre, sums per
+// service between data centres. Single-threaded; callers pass the time in, and reports are sent
+// through a hook.
 class LoadExchange
 {
 public:
@@ -27,41 +27,41 @@
     {
         MemberRecord self;
         std::uint64_t seed = 1;
-        // Time between two reports to members of the own data centre, zero for
-        // none at all, and the members that get each.
+        // Interval of reports to members of the local data centre, zero to send no reports at all,
+        // and the number of members that each report is sent to.
         Milliseconds interval{100};
         std::uint32_t fanOut = 2;
-        // Time between two reports to a member of another data centre.
+        // Interval of reports to a member of another data centre.
         Milliseconds remoteInterval{1000};
-        // Age at which the load of a target, or of a pool, is forgotten.
+        // Age beyond which the load of a target, or of a pool, is dropped.
         Milliseconds maxTargetAge{1000};
         Milliseconds maxPoolAge{3000};
 
         std::function<OwnLoad()> ownLoad;
         std::function<void(const Endpoint &, const LoadReport &)> send;
-        // A newer load of a target of the own data centre came.
+        // Called with newer load of a target of the local data centre.
         std::function<void(const NodeName &, TargetLoad, Milliseconds wait, TimePoint observed)> targetLoad;
-        // A newer load of a service's targets in a data centre came.
+        // Called with newer load of the targets of a service in a data centre.
         std::function<void(const PoolReport &, TimePoint observed)> poolLoad;
     };
 
     explicit LoadExchange(Options options);
     ~LoadExchange();
 
-    // The live members. Reports from and about others are dropped.
+    // Sets the live members. Reports from and about other nodes are dropped.
     void setMembers(const std::vector<MemberRecord> &members);
 
-    // Takes one report that was received.
+    // Handles a received report.
     void receive(const Endpoint &from, const LoadReport &report, TimePoint now);
 
-    // Sends what is due; call it at least once an interval.
+    // Sends the reports that are due; call it at least once per interval.
     void tick(TimePoint now);
 
-    // Reports, and parts of reports, that were dropped: from an unknown sender,
-    // about an unknown or former target, or with a value out of range.
+    // Number of reports, and of entries in reports, that were dropped: from an unknown sender,
+    // about an unknown target or a former incarnation, or with a value out of range.
     std::uint64_t dropped() const;
 
-    // Targets whose load is known, and the age of the oldest of them.
+    // Number of targets whose load is known, and the age of the oldest of these loads.
     std::size_t knownTargets() const;
     Milliseconds oldestTarget(TimePoint now) const;
 
--- a/src/core/fleet/memberrecord.cpp
+++ b/src/core/fleet/memberrecord.cpp
@@ -25,7 +25,7 @@
 
 bool isPlausible(const MemberRecord &record)
 {
-    // Far above any wall clock in milliseconds, far below overflow.
+    // Far above any wall-clock time in milliseconds, far below overflow.
     constexpr std::uint64_t MaxIncarnation = std::uint64_t(1) << 48;
     return !record.name.value().empty() && !record.address.empty() && record.controlPort != 0 && record.incarnation < MaxIncarnation
         && record.state <= MemberState::Left;
--- a/src/core/fleet/memberrecord.h
+++ b/src/core/fleet/memberrecord.h
@@ -7,26 +7,26 @@
 
 namespace Galenahill {
 
-// What a member says of itself and its target, ordered by how final it is:
-// with equal incarnation the higher state wins.
+// State of a member and its target. Of two records with equal incarnation the one with the higher
+// state wins, so the order of the states matters.
 enum class MemberState : std::uint8_t {
-    // The node runs; its target doesn't take calls yet.
+    // The node runs; its target doesn't accept calls yet.
     Starting,
-    // The target takes calls.
+    // The target accepts calls.
     Ready,
-    // The node still answers; its target takes no new calls.
+    // The node still answers; its target accepts no new calls.
     Draining,
-    // Another member got no answer; may be refuted by a higher incarnation.
+    // The member didn't answer a probe; it can refute this with a higher incarnation.
     Suspect,
-    // Given up by other members; comes back by a higher incarnation.
+    // Other members have declared it gone; it comes back with a higher incarnation.
     Gone,
-    // Said itself that it stops.
+    // The member itself has announced that it stops.
     Left,
 };
 
 std::string toString(MemberState state);
 
-// One member as known by gossip.
+// Member of the fleet as spread by gossip.
 struct MemberRecord
 {
     NodeName name;
@@ -36,12 +36,12 @@
     std::uint16_t ingressPort = 0;
     std::uint16_t sidecarPort = 0;
     std::uint16_t controlPort = 0;
-    // Version of the target's software; empty: not known.
+    // Version of the target's software; empty if unknown.
     TargetVersion version;
-    // Speed of the VM's link; zero: not known.
+    // Bandwidth of the VM's link; zero if unknown.
     std::uint32_t linkMbps = 0;
-    // Grows with each start (wall clock) and each refutation; only the member
-    // itself raises it.
+    // Raised by the member alone: with each start, to the wall-clock time, and with each
+    // refutation.
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::Starting;
 
@@ -74,11 +74,11 @@
         record.state);
 }
 
-// Whether a member can have said this of itself: it has a name, an address, a
-// known state, and an incarnation that a refutation can still top.
+// Whether a member can have sent this record of itself: it has a name, an address, a known state,
+// and an incarnation that a refutation can still exceed.
 bool isPlausible(const MemberRecord &record);
 
-// Whether the new record replaces the old one.
+// Whether the newer record replaces the older one.
 bool supersedes(const MemberRecord &newer, const MemberRecord &older);
 
 }
--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -13,11 +13,10 @@
 
 namespace {
 
-// Highest value of a member's trouble score; see Private::trouble.
-constexpr std::int64_t MaxTrouble = 4;
+// Highest local health score; see Private::localHealthScore.
+constexpr std::int64_t MaxLocalHealthScore = 4;
 
-// Probe intervals without any datagram after which a member takes itself for
-// cut off.
+// Probe intervals without a received datagram after which a member considers itself isolated.
 constexpr int IsolationIntervals = 3;
 
 }
@@ -38,48 +37,47 @@
     std::mt19937_64 random;
     MemberTable members;
     GossipPeers peers;
-    RumourQueue rumours;
+    RumourQueue updateQueue;
     std::vector<NodeName> probeOrder;
     std::optional<Probe> probe;
     std::vector<RelayedProbe> relayed;
     std::uint32_t nextSequence = 1;
-    // Rounds left of telling about the revision; the last goes to successors as
-    // well.
-    std::uint32_t roundsLeft = 0;
-    // Failed probes less successful ones, from zero to MaxTrouble: how likely
-    // it is that this node's own link or processor is the reason.
-    std::int64_t trouble = 0;
+    // Remaining rounds of sending the revision; the last one includes the successors.
+    std::uint32_t revisionRoundsLeft = 0;
+    // Failed probes less successful ones, from zero to MaxLocalHealthScore: how likely it is that
+    // this node's own link or CPU is the cause. Zero is healthy.
+    std::int64_t localHealthScore = 0;
     TimePoint lastProbe;
     TimePoint lastGossip;
-    TimePoint lastRevive;
+    TimePoint lastReconnect;
     TimePoint lastTick;
-    TimePoint lastHeard;
-    bool unanswered = false;
+    TimePoint lastReceived;
+    bool lastProbeUnanswered = false;
 
-    bool take(const MemberRecord &record, TimePoint now);
-    void spread(const MemberRecord &record);
-    void spreadSelf();
+    bool applyRecord(const MemberRecord &record, TimePoint now);
+    void enqueue(const MemberRecord &record);
+    void enqueueSelf();
     void refute(const MemberRecord &claim);
     void checkSender(const Endpoint &from, const GossipMessage &message);
-    void acknowledged(std::uint32_t sequence);
+    void handleAck(std::uint32_t sequence);
     void sendTo(const Endpoint &endpoint, GossipMessage message);
     std::vector<MemberRecord> successorsWithout(Revision revision);
     bool isolated(TimePoint now) const;
     Milliseconds suspicionLimit() const;
-    void noticePause(TimePoint now);
+    void detectPause(TimePoint now);
     void startProbe(TimePoint now);
     void checkProbe(TimePoint now);
     void probeGoneMember(TimePoint now);
-    void expire(TimePoint now);
+    void expireSuspects(TimePoint now);
     void purge(TimePoint now);
     void gossip(TimePoint now);
-    void tellRevision();
+    void sendRevision();
 };
 
 Membership::Membership(Options options)
     : d(std::make_unique<Private>(std::move(options)))
 {
-    d->rumours.add(d->options.self, d->members.size());
+    d->updateQueue.add(d->options.self, d->members.size());
 }
 
 Membership::~Membership() = default;
@@ -96,29 +94,28 @@
 
 bool Membership::unanswered() const
 {
-    return d->unanswered;
+    return d->lastProbeUnanswered;
 }
 
 void Membership::Private::refute(const MemberRecord &claim)
 {
-    // Somebody says of us what isn't so, such as Gone after a pause, or knows
-    // us from before a restart on a VM whose clock is behind. Without a higher
-    // incarnation the claim would win everywhere and our target would stay
-    // out of use.
+    // Another member claims a state that isn't true, such as Gone after a pause, or knows this node
+    // from before a restart on a VM whose clock is behind. Unless this node raises its incarnation,
+    // the claim wins everywhere and the target gets no calls.
     const bool alreadyAbove = options.self.incarnation > claim.incarnation;
     const bool same = options.self.incarnation == claim.incarnation && claim.state <= options.self.state;
     if (alreadyAbove || same) {
         return;
     }
     options.self.incarnation = claim.incarnation + 1;
-    rumours.add(options.self, members.size());
+    updateQueue.add(options.self, members.size());
 }
 
-// Whether the record told something new of another member.
-bool Membership::Private::take(const MemberRecord &record, TimePoint now)
+// Returns whether the record changed what is known of another member.
+bool Membership::Private::applyRecord(const MemberRecord &record, TimePoint now)
 {
-    // A record from a damaged or hostile datagram: an incarnation that can't
-    // be topped would keep a member out for ever.
+    // A corrupt or hostile datagram: an incarnation that can't be exceeded would keep a member out
+    // for good.
     if (!isPlausible(record)) {
         return false;
     }
@@ -133,9 +130,9 @@
     return true;
 }
 
-void Membership::Private::spread(const MemberRecord &record)
+void Membership::Private::enqueue(const MemberRecord &record)
 {
-    rumours.add(record, members.size());
+    updateQueue.add(record, members.size());
 }
 
 void Membership::Private::sendTo(const Endpoint &endpoint, GossipMessage message)
@@ -146,10 +143,10 @@
     options.send(endpoint, message);
 }
 
-// Compares what the sender says of itself with what is known of it. Nothing is
-// answered to news or to a question: two members that disagree for good, as one
-// that left and one that didn't know it, would answer each other without a pause
-// and fill the link between them. Their probes bring it up again each second.
+// Compares the state that the sender claims with the known one. Update and RecordRequest get no
+// reply: two members that disagree for good, such as one that left and one that didn't know it,
+// would answer each other without a pause and saturate the link between them. Their probes repeat
+// the comparison each second.
 void Membership::Private::checkSender(const Endpoint &from, const GossipMessage &message)
 {
     if (message.kind == GossipKind::News || message.kind == GossipKind::Introduce) {
@@ -166,8 +163,8 @@
     claimed.incarnation = message.incarnation;
     claimed.state = message.state;
     if (supersedes(known->record, claimed)) {
-        // Given up while it was paused or cut off, or restarted with a clock
-        // behind; without this it would never learn what it has to refute.
+        // Declared gone while it was paused or cut off, or restarted with its clock behind; without
+        // this record it would never learn what it has to refute.
         sendTo(from, {.kind = GossipKind::News, .updates = {known->record}});
     } else if (supersedes(claimed, known->record)) {
         // The rest of its record may have changed with a restart.
@@ -175,11 +172,11 @@
     }
 }
 
-void Membership::Private::acknowledged(std::uint32_t sequence)
+void Membership::Private::handleAck(std::uint32_t sequence)
 {
     if (probe && probe->sequence == sequence) {
         probe.reset();
-        trouble = std::max<std::int64_t>(0, trouble - 1);
+        localHealthScore = std::max<std::int64_t>(0, localHealthScore - 1);
     }
     const auto request = std::find_if(relayed.begin(), relayed.end(), [&](const auto &entry) { return entry.ownSequence == sequence; });
     if (request != relayed.end()) {
@@ -190,11 +187,11 @@
 
 void Membership::receive(const Endpoint &from, const GossipMessage &message, TimePoint now)
 {
-    d->lastHeard = now;
-    d->unanswered = false;
+    d->lastReceived = now;
+    d->lastProbeUnanswered = false;
     for (const auto &record : message.updates) {
-        if (d->take(record, now)) {
-            d->spread(record);
+        if (d->applyRecord(record, now)) {
+            d->enqueue(record);
         }
     }
     d->checkSender(from, message);
@@ -204,7 +201,7 @@
     d->options.revisionHeard(from, message.revision);
     switch (message.kind) {
     case GossipKind::Ping:
-        d->sendTo(from, {.kind = GossipKind::Ack, .sequence = message.sequence, .updates = d->rumours.take(d->options.maxUpdates)});
+        d->sendTo(from, {.kind = GossipKind::Ack, .sequence = message.sequence, .updates = d->updateQueue.take(d->options.maxUpdates)});
         break;
     case GossipKind::PingRequest: {
         const auto sequence = d->nextSequence++;
@@ -213,7 +210,7 @@
         break;
     }
     case GossipKind::Ack:
-        d->acknowledged(message.sequence);
+        d->handleAck(message.sequence);
         break;
     case GossipKind::Introduce:
         d->sendTo(from, {.kind = GossipKind::News, .updates = {d->options.self}});
@@ -233,7 +230,7 @@
             continue;
         }
         probe = Probe{nextSequence++, name, now, false};
-        sendTo(found->record.control(), {.kind = GossipKind::Ping, .sequence = probe->sequence, .updates = rumours.take(options.maxUpdates)});
+        sendTo(found->record.control(), {.kind = GossipKind::Ping, .sequence = probe->sequence, .updates = updateQueue.take(options.maxUpdates)});
         return;
     }
     for (const auto &[name, member] : members.all()) {
@@ -252,12 +249,12 @@
         probe.reset();
         return;
     }
-    const bool silent = now - probe->sent >= options.probeTimeout && lastHeard < probe->sent;
-    unanswered = unanswered || silent;
+    const bool noAnswer = now - probe->sent >= options.probeTimeout && lastReceived < probe->sent;
+    lastProbeUnanswered = lastProbeUnanswered || noAnswer;
     if (!probe->indirect && now - probe->sent >= options.probeTimeout) {
         probe->indirect = true;
-        const auto helps = [&](const Member &member) { return member.record.name != probe->name && !isOut(member.record); };
-        for (const auto &peer : peers.anywhere(options.indirectProbes, helps)) {
+        const auto canProbe = [&](const Member &member) { return member.record.name != probe->name && !isOut(member.record); };
+        for (const auto &peer : peers.anywhere(options.indirectProbes, canProbe)) {
             sendTo(peer.control(), {.kind = GossipKind::PingRequest, .sequence = probe->sequence, .subject = found->record.control()});
         }
     }
@@ -265,25 +262,24 @@
         auto record = found->record;
         if (record.state < MemberState::Suspect) {
             record.state = MemberState::Suspect;
-            take(record, now);
-            spread(record);
+            applyRecord(record, now);
+            enqueue(record);
         }
-        trouble = std::min(MaxTrouble, trouble + 1);
+        localHealthScore = std::min(MaxLocalHealthScore, localHealthScore + 1);
         probe.reset();
     }
 }
 
-// After a long partition both sides have given each other up, and nobody
-// probes across any more; with the store down they would stay apart for ever.
-// The answer to such a probe shows each side what it has to refute. A member
-// that left may come back in the same way: restarted as planned while the
-// store is out, it knows nobody.
+// After a long partition each side has declared the other gone and no longer probes it; with the
+// store unavailable they would stay apart for good. The answer to this probe shows each side what
+// it has to refute. Members that left are probed as well: one that restarts while the store is
+// unavailable knows no other member.
 void Membership::Private::probeGoneMember(TimePoint now)
 {
-    if (now - lastRevive < options.reviveInterval) {
+    if (now - lastReconnect < options.reviveInterval) {
         return;
     }
-    lastRevive = now;
+    lastReconnect = now;
     for (const auto &peer : peers.anywhere(1, [](const Member &member) { return isOut(member.record); })) {
         sendTo(peer.control(), {.kind = GossipKind::Ping});
     }
@@ -291,53 +287,52 @@
 
 bool Membership::Private::isolated(TimePoint now) const
 {
-    return now - lastHeard > IsolationIntervals * options.probeInterval;
+    return now - lastReceived > IsolationIntervals * options.probeInterval;
 }
 
-// A suspect's refutation takes longer to arrive in a larger fleet, and is
-// missed more often by a node whose own link or processor is in trouble.
+// A suspect's refutation takes longer to arrive in a larger fleet, and is missed more often by a
+// node whose own link or CPU is impaired.
 Milliseconds Membership::Private::suspicionLimit() const
 {
     const auto size = std::max(1.0, std::log10(static_cast<double>(members.size() + 1)));
-    return std::chrono::duration_cast<Milliseconds>(options.suspicionTimeout * (size * static_cast<double>(1 + trouble)));
+    return std::chrono::duration_cast<Milliseconds>(options.suspicionTimeout * (size * static_cast<double>(1 + localHealthScore)));
 }
 
-// A node that was paused (SIGSTOP, a stalled VM) wakes with all its timers
-// run out. Without starting them anew it would give up, in one step, members
-// whose answers wait in its socket.
-void Membership::Private::noticePause(TimePoint now)
+// After a pause (SIGSTOP, a stalled VM) all timers have expired at once. Unless they are restarted,
+// this node would declare members gone whose answers wait in its socket.
+void Membership::Private::detectPause(TimePoint now)
 {
     const bool paused = lastTick != TimePoint() && now - lastTick > 2 * options.probeInterval;
     if (lastTick == TimePoint()) {
-        lastHeard = now;
+        lastReceived = now;
     }
     lastTick = now;
     if (!paused) {
         return;
     }
-    trouble = MaxTrouble;
+    localHealthScore = MaxLocalHealthScore;
     probe.reset();
     members.touch(now);
 }
 
-void Membership::Private::expire(TimePoint now)
+void Membership::Private::expireSuspects(TimePoint now)
 {
-    // A node that hears from nobody is itself cut off. If it gave the others
-    // up, its routing would empty and its calls fail though the targets run.
+    // A node that receives nothing is itself cut off. If it declared the others gone, it would
+    // route to no target and its calls would fail although the targets run.
     if (isolated(now)) {
         members.touch(now);
         return;
     }
-    std::vector<MemberRecord> dead;
+    std::vector<MemberRecord> expired;
     for (const auto &[name, member] : members.all()) {
         if (member.record.state == MemberState::Suspect && now - member.since >= suspicionLimit()) {
-            dead.push_back(member.record);
+            expired.push_back(member.record);
         }
     }
-    for (auto &record : dead) {
+    for (auto &record : expired) {
         record.state = MemberState::Gone;
-        take(record, now);
-        spread(record);
+        applyRecord(record, now);
+        enqueue(record);
     }
     purge(now);
 }
@@ -345,14 +340,13 @@
 void Membership::Private::purge(TimePoint now)
 {
     std::erase_if(members.all(), [&](const auto &entry) {
-        const auto &[record, since, revision] = entry.second;
-        return isOut(record) && now - since >= (record.state == MemberState::Left ? options.leftRetention : options.goneRetention);
+        const auto &[record, updatedAt, revision] = entry.second;
+        return isOut(record) && now - updatedAt >= (record.state == MemberState::Left ? options.leftRetention : options.goneRetention);
     });
     std::erase_if(relayed, [&](const auto &entry) { return now - entry.sent >= options.probeInterval; });
 }
 
-// The members next in the order of names, around its end, that weren't heard
-// to have the revision.
+// The next members in name order, wrapping around, that haven't advertised the revision.
 std::vector<MemberRecord> Membership::Private::successorsWithout(Revision revision)
 {
     auto found = members.successors(options.self.name, options.successors);
@@ -360,38 +354,38 @@
     return found;
 }
 
-// Random rounds reach nearly all members. Those that they miss are reached
-// through the members before them in the order of names, for which more
-// random rounds would need several times the datagrams. Told with the last random
-// round, not after it, the last member of 200 hears a tenth of a second earlier.
-void Membership::Private::tellRevision()
+// Random rounds reach nearly all members. Those that they miss get the revision from their
+// predecessors in name order; reaching them by more random rounds would need several times the
+// datagrams. Sending to the successors in the last random round instead of after it reaches the
+// last member of 200 a tenth of a second earlier.
+void Membership::Private::sendRevision()
 {
     const auto revision = options.revision();
     const auto lacks = [&](const Member &member) { return !isOut(member.record) && member.revision < revision; };
-    --roundsLeft;
-    auto told = peers.mostlyNear(options.fanOut, lacks);
-    if (roundsLeft == 0) {
+    --revisionRoundsLeft;
+    auto recipients = peers.mostlyNear(options.fanOut, lacks);
+    if (revisionRoundsLeft == 0) {
         const auto next = successorsWithout(revision);
-        told.insert(told.end(), next.begin(), next.end());
+        recipients.insert(recipients.end(), next.begin(), next.end());
     }
-    for (const auto &peer : told) {
+    for (const auto &peer : recipients) {
         sendTo(peer.control(), {.kind = GossipKind::News});
     }
 }
 
 void Membership::Private::gossip(TimePoint now)
 {
-    if (now - lastGossip < options.gossipInterval || (rumours.empty() && roundsLeft == 0)) {
+    if (now - lastGossip < options.gossipInterval || (updateQueue.empty() && revisionRoundsLeft == 0)) {
         return;
     }
     lastGossip = now;
-    if (roundsLeft > 0) {
-        tellRevision();
+    if (revisionRoundsLeft > 0) {
+        sendRevision();
     }
-    if (rumours.empty()) {
+    if (updateQueue.empty()) {
         return;
     }
-    const auto updates = rumours.take(options.maxUpdates);
+    const auto updates = updateQueue.take(options.maxUpdates);
     for (const auto &peer : peers.mostlyNear(options.fanOut, [](const Member &member) { return !isOut(member.record); })) {
         sendTo(peer.control(), {.kind = GossipKind::News, .updates = updates});
     }
@@ -399,44 +393,44 @@
 
 void Membership::tick(TimePoint now)
 {
-    d->noticePause(now);
+    d->detectPause(now);
     d->checkProbe(now);
     if (!d->probe && now - d->lastProbe >= d->options.probeInterval) {
         d->lastProbe = now;
         d->startProbe(now);
     }
     d->probeGoneMember(now);
-    d->expire(now);
+    d->expireSuspects(now);
     d->gossip(now);
 }
 
-// What a list says of known members, the others are told by those themselves.
-// Passed on by each node that starts, the lists of a fleet that returns as a whole
-// would be most of its traffic.
+// Records of members known here aren't passed on: those members send them themselves. If each
+// starting node passed its whole list on, the lists would be most of the traffic when a whole fleet
+// restarts.
 void Membership::merge(const std::vector<MemberRecord> &records, TimePoint now)
 {
     for (const auto &record : records) {
         const bool unknown = d->members.find(record.name) == nullptr;
-        if (d->take(record, now) && unknown) {
-            d->spread(record);
+        if (d->applyRecord(record, now) && unknown) {
+            d->enqueue(record);
         }
     }
-    d->spreadSelf();
+    d->enqueueSelf();
 }
 
 void Membership::mergeFromStore(const std::vector<MemberRecord> &records, TimePoint now)
 {
     for (const auto &record : records) {
-        d->take(record, now);
+        d->applyRecord(record, now);
     }
-    d->spreadSelf();
+    d->enqueueSelf();
 }
 
-// The rumour of this member's start may have run out before it had anybody to
-// tell.
-void Membership::Private::spreadSelf()
+// The update about this member's start may have run out of rounds before any other member was
+// known.
+void Membership::Private::enqueueSelf()
 {
-    spread(options.self);
+    enqueue(options.self);
 }
 
 void Membership::setState(MemberState state, TimePoint now)
@@ -446,8 +440,8 @@
 
 void Membership::setTarget(MemberState state, const TargetVersion &version, TimePoint now)
 {
-    // The target's state goes on changing while the node stops; the others
-    // would take the node back and send it calls that it refuses.
+    // The target's state keeps changing while the node stops; the others would consider the node
+    // live again and send it calls that it rejects.
     auto &self = d->options.self;
     const bool same = self.state == state && self.version == version;
     if (same || self.state == MemberState::Left) {
@@ -455,10 +449,10 @@
     }
     self.state = state;
     self.version = version;
-    // A later state of the same incarnation would win over an earlier one
-    // whatever the order of arrival; each change needs its own incarnation.
+    // Within one incarnation the higher state wins whatever the order of arrival; each change needs
+    // its own incarnation.
     ++d->options.self.incarnation;
-    d->rumours.add(d->options.self, d->members.size());
+    d->updateQueue.add(d->options.self, d->members.size());
     d->lastGossip = TimePoint();
     d->gossip(now);
     d->options.changed();
@@ -466,7 +460,7 @@
 
 void Membership::announceRevision(TimePoint now)
 {
-    d->roundsLeft = d->options.revisionRounds;
+    d->revisionRoundsLeft = d->options.revisionRounds;
     d->lastGossip = TimePoint();
     d->gossip(now);
 }
--- a/src/core/fleet/membership.h
+++ b/src/core/fleet/membership.h
@@ -8,9 +8,9 @@
 
 namespace Galenahill {
 
-// The fleet as one member sees it: a SWIM-like protocol with incarnations,
-// suspicion, indirect probes and piggybacked updates. Single-threaded; time
-// comes in through arguments and datagrams leave through a hook.
+// One member's view of the fleet: a SWIM-like protocol with incarnations, suspicion, indirect
+// probes and piggybacked updates. Single-threaded; callers pass the time in, and datagrams are sent
+// through a hook.
 class Membership
 {
 public:
@@ -19,85 +19,83 @@
         MemberRecord self;
         std::uint64_t seed = 1;
         Milliseconds probeInterval{1000};
-        // Time for a direct answer before other members are asked to probe.
+        // Time for a direct Ack before other members are asked to probe.
         Milliseconds probeTimeout{300};
-        // Time that a suspect has to refute before it counts as gone, in a
-        // fleet of ten; grows with the fleet and with this node's own trouble.
+        // Time for which a suspect can refute before it is declared gone, in a fleet of ten; grows
+        // with the fleet and while this node's own link or CPU seems impaired.
         Milliseconds suspicionTimeout{4000};
-        // Time between two rounds of sending fresh updates.
+        // Interval between two rounds of sending queued updates.
         Milliseconds gossipInterval{100};
-        // Time between two probes of members that count as gone.
+        // Interval between two probes of members that are gone or have left.
         Milliseconds reviveInterval{5000};
-        // Time that a member that left is remembered, so that an old record
-        // of it that is still under way doesn't bring it back.
+        // Time for which a member that left is remembered, so that an old record of it in flight
+        // doesn't add it again.
         Milliseconds leftRetention{120000};
-        // Time that a member that was given up is remembered: the time after
-        // which a partition still heals without the store.
+        // Time for which a member that was declared gone is remembered: partitions up to this long
+        // heal without the store.
         Milliseconds goneRetention{7200000};
-        // Members that fresh updates and a new revision go to per round. They are of
-        // the own data centre, but for one now and then.
+        // Members that updates and a new revision are sent to per round, mostly in the local data
+        // centre.
         std::uint32_t fanOut = 3;
-        // Members of each data centre that tell another one in a round, on average.
-        // Of smaller data centres all do.
+        // Average number of members of a data centre that send to another one in a round. In a
+        // smaller data centre all members do.
         std::uint32_t bridgesPerDataCentre = 8;
-        // Rounds in which a new revision goes to random members.
+        // Rounds in which a new revision is sent to random members.
         std::uint32_t revisionRounds = 2;
-        // Next members in the order of names that hear of a new revision last.
+        // Successors in name order that a new revision is sent to in the last of these rounds.
         std::uint32_t successors = 2;
-        // Members asked for an indirect probe.
+        // Members asked to probe a member that didn't answer directly.
         std::uint32_t indirectProbes = 3;
-        // Records in one datagram.
+        // Maximum number of records in one datagram.
         std::uint32_t maxUpdates = 8;
 
         std::function<void(const Endpoint &, const GossipMessage &)> send;
-        // The set of members or the state of one changed.
+        // Called when the set of members or the state of one has changed.
         std::function<void()> changed;
-        // The member at this control address was heard to have this revision
-        // in force.
+        // Called with the revision that the member at this control address has in force.
         std::function<void(const Endpoint &, Revision)> revisionHeard;
-        // The revision that this node has in force.
+        // Returns the revision that this node has in force.
         std::function<Revision()> revision;
     };
 
     explicit Membership(Options options);
     ~Membership();
 
-    // Takes one datagram that was received.
+    // Handles a received datagram.
     void receive(const Endpoint &from, const GossipMessage &message, TimePoint now);
 
-    // Does what is due; call it every 50 to 100 ms.
+    // Sends due probes and updates, and expires suspects; call it every 50 to 100 ms.
     void tick(TimePoint now);
 
-    // Takes the list of members that a contact gave, and tells others of those
-    // that were unknown here: they may be of a group that knows nobody else.
+    // Merges the member list of a contact, and passes on members that were unknown here: they may
+    // belong to a group that no other member knows.
     void merge(const std::vector<MemberRecord> &records, TimePoint now);
 
-    // Takes the list of all members that the store has. Every member reads it
-    // there itself, so that nobody is told.
+    // Merges the store's list of all members. The records aren't passed on, since every member
+    // reads them from the store itself.
     void mergeFromStore(const std::vector<MemberRecord> &records, TimePoint now);
 
-    // Changes what this member says of itself and its target. Left is final.
+    // Changes the state of this member and its target. Left is final.
     void setState(MemberState state, TimePoint now);
     void setTarget(MemberState state, const TargetVersion &version, TimePoint now);
 
-    // Tells random members now that this node has a new revision, and goes on
-    // for some rounds.
+    // Sends the new revision of this node to random members at once, and in further rounds.
     void announceRevision(TimePoint now);
 
     const MemberRecord &self() const;
 
-    // All known members with this one, gone ones too.
+    // All known members including this one and those that are gone.
     std::vector<MemberRecord> records() const;
 
-    // The members that aren't gone, with this one.
+    // The members that aren't gone and haven't left, including this one.
     std::vector<MemberRecord> live() const;
 
-    // Whether nothing was heard from any member for some time though there
-    // are some: then the fault is more likely here than there.
+    // Whether no datagram was received for some time: then the fault is more likely at this node
+    // than at the others.
     bool isolated(TimePoint now) const;
 
-    // Whether the last probe stayed unanswered and nothing was heard from anybody
-    // since: sooner than `isolated`, and wrong now and then.
+    // Whether the last probe is unanswered and no datagram was received since. Detects isolation
+    // sooner than `isolated`, with occasional false alarms.
     bool unanswered() const;
 
 private:
--- a/src/core/fleet/membertable.cpp
+++ b/src/core/fleet/membertable.cpp
@@ -15,19 +15,19 @@
     if (known != m_members.end() && !supersedes(record, known->second.record)) {
         return false;
     }
-    const bool unknownAndOut = known == m_members.end() && isOut(record);
-    if (unknownAndOut) {
+    const bool unknownAndGone = known == m_members.end() && isOut(record);
+    if (unknownAndGone) {
         return false;
     }
     const auto revision = known == m_members.end() ? Revision() : known->second.revision;
     m_members[record.name] = {record, now, revision};
-    giveUpPredecessors(record, now);
+    markPredecessorsGone(record, now);
     return true;
 }
 
-// A VM that was replaced has left its address to a successor, which answers the
-// probes meant for it. Calls would be offered to the wrong service for good.
-void MemberTable::giveUpPredecessors(const MemberRecord &record, TimePoint now)
+// The successor of a replaced VM has its address and answers the probes meant for it. Unless the
+// replaced member is marked gone, calls keep being sent to the wrong service.
+void MemberTable::markPredecessorsGone(const MemberRecord &record, TimePoint now)
 {
     for (auto &[name, member] : m_members) {
         auto &other = member.record;
@@ -51,8 +51,8 @@
     Member *found = nullptr;
     for (auto &[name, member] : m_members) {
         const auto &record = member.record;
-        const bool here = record.controlPort == control.port && record.address == control.address;
-        if (here && (found == nullptr || rank(record) > rank(found->record))) {
+        const bool sameAddress = record.controlPort == control.port && record.address == control.address;
+        if (sameAddress && (found == nullptr || rank(record) > rank(found->record))) {
             found = &member;
         }
     }
--- a/src/core/fleet/membertable.h
+++ b/src/core/fleet/membertable.h
@@ -8,47 +8,48 @@
 
 namespace Galenahill {
 
-// Whether the member doesn't take part any more: given up, or left.
+// Whether the member was declared gone or has left.
 bool isOut(const MemberRecord &record);
 
-// What one member knows of the others, by name.
+// The other members as one member knows them, by name.
 class MemberTable
 {
 public:
     struct Member
     {
         MemberRecord record;
-        // When the record was taken.
+        // When the record last changed, or was touched.
         TimePoint since;
-        // Highest revision heard from it.
+        // Highest revision that it has advertised.
         Revision revision;
     };
 
-    // Takes the record if it tells something new, and says whether it did. The
-    // predecessors at its address are given up.
+    // Stores the record if it supersedes the known one, and returns whether it did. An unknown
+    // member that is gone or has left isn't added. Earlier members at the same address are marked
+    // gone.
     bool take(const MemberRecord &record, TimePoint now);
 
     // The member of that name, or null.
     Member *find(const NodeName &name);
 
-    // Of several members that were at an address, one after the other, the one
-    // that is there now; null if there is none.
+    // The member at the control address, or null. If several members had the address one after the
+    // other, the current one.
     Member *at(const Endpoint &control);
 
-    // All members in the order of their names.
+    // All members, in name order.
     std::map<NodeName, Member> &all();
     const std::map<NodeName, Member> &all() const;
     std::size_t size() const;
 
-    // Counts the records as taken now, so that their time begins anew.
+    // Restarts the timers of all members, as if their records had just changed.
     void touch(TimePoint now);
 
-    // Up to so many members that come after the name in the order of names,
-    // around its end, without those that are out.
+    // Up to `count` members that follow `name` in name order, wrapping around, without those gone
+    // or left.
     std::vector<MemberRecord> successors(const NodeName &name, std::size_t count) const;
 
 private:
-    void giveUpPredecessors(const MemberRecord &record, TimePoint now);
+    void markPredecessorsGone(const MemberRecord &record, TimePoint now);
 
     std::map<NodeName, Member> m_members;
 };
--- a/src/core/fleet/probes.h
+++ b/src/core/fleet/probes.h
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-// A ping that was sent to see whether a member is there.
+// A direct ping whose Ack is outstanding.
 struct Probe
 {
     std::uint32_t sequence = 0;
@@ -16,7 +16,7 @@
     bool indirect = false;
 };
 
-// A ping sent on behalf of another member.
+// A ping sent on behalf of another member, whose Ack is to be relayed.
 struct RelayedProbe
 {
     std::uint32_t ownSequence = 0;
--- a/src/core/fleet/readinessgate.cpp
+++ b/src/core/fleet/readinessgate.cpp
@@ -17,27 +17,26 @@
 
 void ReadinessGate::memberHeard(const Endpoint &member, Revision revision)
 {
-    if (m_open) {
+    if (m_ready) {
         return;
     }
-    // Revision zero is a member that is itself starting; it vouches for
-    // nothing.
+    // A member at revision zero is itself starting and doesn't count.
     if (revision > Revision()) {
-        m_heard.insert(member);
+        m_advertisers.insert(member);
     }
     m_highest = std::max(m_highest, revision);
 }
 
-// A replaced node that took the first revision it met, from a member that is
-// behind, would route callers by a configuration that its predecessor on that
-// address had already left. One member may be behind; that several are and
-// the store is out at the same time is what remains.
+// A replaced node that adopted the first advertised revision, from a member that is behind, would
+// route callers by a configuration that its predecessor at the same address had already replaced.
+// Asking several members tolerates one that is behind; several members behind while the store is
+// unavailable remain a risk.
 bool ReadinessGate::open(Revision held, std::size_t members)
 {
-    const auto needed = std::min(MembersAsked, std::max<std::size_t>(members, 1));
-    const bool enoughMembers = m_storeFailed && m_heard.size() >= needed;
-    m_open = m_open || ((m_storeAnswered || enoughMembers) && held >= m_highest);
-    return m_open;
+    const auto needed = std::min(RequiredMembers, std::max<std::size_t>(members, 1));
+    const bool enoughMembers = m_storeFailed && m_advertisers.size() >= needed;
+    m_ready = m_ready || ((m_storeAnswered || enoughMembers) && held >= m_highest);
+    return m_ready;
 }
 
 }
--- a/src/core/fleet/readinessgate.h
+++ b/src/core/fleet/readinessgate.h
@@ -7,33 +7,33 @@
 
 namespace Galenahill {
 
-// Decides when a starting node may take calls: once it holds the highest
-// revision that it can learn from the store or, with the store out, from
-// several members. Stays open once it was open.
+// Decides when a starting node is ready to accept calls: once it holds the highest revision that it
+// can learn from the store or, if the store is unavailable, from several members. It stays ready
+// from then on.
 class ReadinessGate
 {
 public:
-    // The store was read; zero if nothing was ever accepted.
+    // The store was read; the revision is zero if no configuration was ever accepted.
     void storeAnswered(Revision revision);
 
     // The store didn't answer.
     void storeFailed();
 
-    // A member was heard to have this revision in force.
+    // A member advertised the revision that it has in force.
     void memberHeard(const Endpoint &member, Revision revision);
 
-    // Whether calls may be taken by a node that holds this revision and knows
-    // that many other live members.
+    // Returns whether a node that holds this revision and knows this many other live members is
+    // ready.
     bool open(Revision held, std::size_t members);
 
 private:
-    static constexpr std::size_t MembersAsked = 3;
+    static constexpr std::size_t RequiredMembers = 3;
 
-    bool m_open = false;
+    bool m_ready = false;
     bool m_storeAnswered = false;
     bool m_storeFailed = false;
     Revision m_highest;
-    std::set<Endpoint> m_heard;
+    std::set<Endpoint> m_advertisers;
 };
 
 }
--- a/src/core/fleet/revisionholder.cpp
+++ b/src/core/fleet/revisionholder.cpp
@@ -9,8 +9,8 @@
         if (revision->digest == m_inForce->digest) {
             return Verdict::Known;
         }
-        // Messages cross and stores come back from backups: without this
-        // check a late older revision would take accepted changes back.
+        // Messages are reordered and stores are restored from backups: without this check a late
+        // older revision would revert accepted changes.
         if (revision->revision() < m_inForce->revision()) {
             return Verdict::Older;
         }
--- a/src/core/fleet/revisionholder.h
+++ b/src/core/fleet/revisionholder.h
@@ -7,28 +7,28 @@
 
 namespace Galenahill {
 
-// The revision that a node has in force. Usable from several threads.
+// The revision that a node has in force. Thread-safe.
 class RevisionHolder
 {
 public:
     enum class Verdict {
         Taken,
-        // The same revision again.
+        // The revision in force was offered again.
         Known,
-        // Below the one in force; never taken, whoever sends it.
+        // Older than the one in force; never adopted, whoever sends it.
         Older,
-        // The number in force with another content: two lines of history,
-        // such as after the store was restored from an older backup.
+        // The number of the one in force with different content: two diverged histories, such as
+        // after the store was restored from an older backup.
         Forked,
     };
 
-    // Puts the revision in force if it is above the present one.
+    // Puts the revision in force if it is newer than the current one.
     Verdict offer(std::shared_ptr<const ConfigRevision> revision);
 
     // The revision in force, or null before the first.
     std::shared_ptr<const ConfigRevision> current() const;
 
-    // Its number; zero before the first.
+    // Number of the revision in force; zero before the first.
     Revision revision() const;
 
 private:
--- a/src/core/fleet/revisionpuller.cpp
+++ b/src/core/fleet/revisionpuller.cpp
@@ -23,14 +23,14 @@
     }
 }
 
-bool RevisionPuller::waitsForOwnWatch(TimePoint now) const
+bool RevisionPuller::withinWatchGracePeriod(TimePoint now) const
 {
     return m_options.patience && m_behindSince != TimePoint::max() && now - m_behindSince < m_options.patience();
 }
 
-// A member that fails is left out until it is heard again. Without the others
-// at hand, one that died after telling would hold this node up until the next
-// datagram that happens to show the revision.
+// A member whose pull ends is no longer a source until it advertises a newer revision again. The
+// other sources are kept: otherwise a member that dies after advertising would delay this node
+// until some later datagram happens to show the revision.
 void RevisionPuller::ended(const Endpoint &peer, TimePoint now)
 {
     m_running.erase(peer);
@@ -40,13 +40,13 @@
     }
 }
 
-// A frozen member accepts the connection and never answers; waiting for its
-// time limit would hold this node back for seconds.
+// A paused member accepts the connection and never answers; waiting for the request timeout would
+// delay this node by seconds.
 void RevisionPuller::tick(TimePoint now)
 {
     const bool slow = !m_running.empty() && now - m_lastStart >= m_options.hedgeDelay;
-    const bool patienceOver = m_running.empty() && !m_sources.empty();
-    if (patienceOver || (slow && m_running.size() < m_options.maxRunning)) {
+    const bool gracePeriodOver = m_running.empty() && !m_sources.empty();
+    if (gracePeriodOver || (slow && m_running.size() < m_options.maxRunning)) {
         start(now);
     }
 }
@@ -58,7 +58,7 @@
     if (m_sources.empty()) {
         m_behindSince = TimePoint::max();
     }
-    if (waitsForOwnWatch(now)) {
+    if (withinWatchGracePeriod(now)) {
         return;
     }
     const Endpoint *best = nullptr;
--- a/src/core/fleet/revisionpuller.h
+++ b/src/core/fleet/revisionpuller.h
@@ -9,45 +9,45 @@
 
 namespace Galenahill {
 
-// Decides from which member to fetch a newer revision, and when to ask another
-// one. Time comes in through arguments.
+// Decides from which member to pull a newer revision, and when to hedge with another one. Callers
+// pass the time in.
 class RevisionPuller
 {
 public:
     struct Options
     {
-        // Time after which a second member is asked beside the first.
+        // Time after which a second member is asked in parallel.
         Milliseconds hedgeDelay{250};
-        // Time for which a newer revision may be known before it is fetched from
-        // a member. A node that watches the store gives its own watch so long,
-        // since the fetch would bring the same change once more. Null: none.
+        // Time for which a newer revision may be known before it is pulled from a member. A node
+        // that watches the store gives its own watch this time, since a pull would transfer the
+        // same change once more. Null for none.
         std::function<Milliseconds()> patience;
         std::size_t maxRunning = 2;
         std::size_t maxSources = 16;
-        // Starts to fetch; `ended` must be called for each.
+        // Starts a pull; `pullEnded` must be called for each.
         std::function<void(const Endpoint &)> pull;
-        // The revision that this node holds.
+        // Returns the revision that this node holds.
         std::function<Revision()> held;
     };
 
     explicit RevisionPuller(Options options);
 
-    // A member was heard to have this revision in force.
+    // A member advertised the revision that it has in force.
     void heard(const Endpoint &peer, Revision revision, TimePoint now);
 
-    // The fetch from that member has ended, for better or worse.
+    // The pull from that member has ended, successfully or not.
     void ended(const Endpoint &peer, TimePoint now);
 
-    // Asks another member when the ones asked are slow.
+    // Starts pulls whose grace period is over, and hedges slow ones.
     void tick(TimePoint now);
 
 private:
     void start(TimePoint now);
-    bool waitsForOwnWatch(TimePoint now) const;
+    bool withinWatchGracePeriod(TimePoint now) const;
 
     Options m_options;
     std::map<Endpoint, Revision> m_sources;
-    // Since when this node has been behind.
+    // Time since which this node has been behind.
     TimePoint m_behindSince = TimePoint::max();
     std::map<Endpoint, TimePoint> m_running;
     TimePoint m_lastStart;
--- a/src/core/fleet/rumourqueue.cpp
+++ b/src/core/fleet/rumourqueue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Rounds in which one update is passed on, each to a few members. A member that all of
-// them missed learns the update with the next probe of the member that it is about.
+// Rounds in which an update is sent, each time to a few members. A member that they all miss learns
+// it from its next probe exchange with the member that the update is about.
 std::uint32_t rounds(std::size_t fleetSize)
 {
     return 2 + static_cast<std::uint32_t>(std::ceil(std::log10(static_cast<double>(fleetSize + 1))));
@@ -18,29 +18,30 @@
 
 void RumourQueue::add(const MemberRecord &record, std::size_t fleetSize)
 {
-    std::erase_if(m_rumours, [&](const Rumour &rumour) { return rumour.record.name == record.name; });
-    m_rumours.push_back({record, rounds(fleetSize)});
+    std::erase_if(m_updates, [&](const QueuedUpdate &update) { return update.record.name == record.name; });
+    m_updates.push_back({record, rounds(fleetSize)});
 }
 
-std::vector<MemberRecord> RumourQueue::take(std::size_t most)
+std::vector<MemberRecord> RumourQueue::take(std::size_t maxRecords)
 {
     std::vector<MemberRecord> records;
-    // The least often sent first, so that fresh news isn't held up by old.
-    std::stable_sort(m_rumours.begin(), m_rumours.end(), [](const Rumour &left, const Rumour &right) { return left.left > right.left; });
-    for (auto &rumour : m_rumours) {
-        if (records.size() == most) {
+    // Least often sent first, so that old updates don't delay new ones.
+    std::stable_sort(
+        m_updates.begin(), m_updates.end(), [](const QueuedUpdate &left, const QueuedUpdate &right) { return left.roundsLeft > right.roundsLeft; });
+    for (auto &update : m_updates) {
+        if (records.size() == maxRecords) {
             break;
         }
-        records.push_back(rumour.record);
-        --rumour.left;
+        records.push_back(update.record);
+        --update.roundsLeft;
     }
-    std::erase_if(m_rumours, [](const Rumour &rumour) { return rumour.left == 0; });
+    std::erase_if(m_updates, [](const QueuedUpdate &update) { return update.roundsLeft == 0; });
     return records;
 }
 
 bool RumourQueue::empty() const
 {
-    return m_rumours.empty();
+    return m_updates.empty();
 }
 
 }
--- a/src/core/fleet/rumourqueue.h
+++ b/src/core/fleet/rumourqueue.h
@@ -6,28 +6,27 @@
 
 namespace Galenahill {
 
-// Fresh member records on their way to the other members, each passed on for
-// a bounded number of rounds.
+// Member records to send to other members, each for a bounded number of rounds.
 class RumourQueue
 {
 public:
-    // Puts a record in, in place of an older one of the same member, for as
-    // many rounds as a fleet of that size needs.
+    // Queues a record, replacing an older one of the same member, for as many rounds as a fleet of
+    // this size needs.
     void add(const MemberRecord &record, std::size_t fleetSize);
 
-    // Gives the least often passed on and counts one round for each.
-    std::vector<MemberRecord> take(std::size_t most);
+    // Returns the least often sent records and counts one round for each.
+    std::vector<MemberRecord> take(std::size_t maxRecords);
 
     bool empty() const;
 
 private:
-    struct Rumour
+    struct QueuedUpdate
     {
         MemberRecord record;
-        std::uint32_t left = 0;
+        std::uint32_t roundsLeft = 0;
     };
 
-    std::vector<Rumour> m_rumours;
+    std::vector<QueuedUpdate> m_updates;
 };
 
 }
--- a/src/core/fleet/targetregistration.cpp
+++ b/src/core/fleet/targetregistration.cpp
@@ -19,33 +19,33 @@
         return Verdict::Foreign;
     }
     if (isLaterStart(target)) {
-        const bool leftBefore = m_leftUnknown == target.id;
+        const bool leftBeforeAnnounced = m_leftBeforeAnnounced == target.id;
         m_target = target;
-        m_leaving = target.draining || leftBefore;
-        m_lost = false;
-        m_lastHeard = now;
+        m_leaving = target.draining || leftBeforeAnnounced;
+        m_connectionLost = false;
+        m_lastContact = now;
         return Verdict::Taken;
     }
     const bool sameStart = target.startedAt == m_target->startedAt && target.id == m_target->id;
     if (!sameStart) {
         return Verdict::Stale;
     }
-    // Leaving is final for one start: an announcement that was held up on its
-    // way would else open the way to a target that was promised no more calls.
+    // Leaving is final for one start: a delayed earlier announcement would otherwise make a target
+    // ready again that was promised no more calls.
     m_leaving = m_leaving || target.draining;
     if (target.sequence <= m_target->sequence) {
         return Verdict::Stale;
     }
     m_target = target;
-    m_lost = false;
-    m_lastHeard = now;
+    m_connectionLost = false;
+    m_lastContact = now;
     return Verdict::Taken;
 }
 
 TargetRegistration::Verdict TargetRegistration::left(const std::string &id, std::optional<std::int64_t> startedAt)
 {
     if (!m_target) {
-        m_leftUnknown = id;
+        m_leftBeforeAnnounced = id;
         return Verdict::Taken;
     }
     if (id != m_target->id) {
@@ -62,18 +62,17 @@
 {
     if (m_target && m_target->id == id && healthy) {
         m_trusted = true;
-        m_lastHeard = now;
+        m_lastContact = now;
     }
 }
 
 void TargetRegistration::lost()
 {
-    m_lost = true;
+    m_connectionLost = true;
 }
 
-// A node that was restarted doesn't know whether the process before it heard
-// the target leave. An announcement alone doesn't tell: one that was held up
-// may be older than the leaving.
+// A restarted node doesn't know whether its previous process was told that the target leaves. An
+// announcement alone doesn't show it: a delayed one may be older than the leaving message.
 bool TargetRegistration::needsCheck() const
 {
     return m_target && !m_trusted && !m_leaving;
@@ -87,8 +86,8 @@
     if (m_leaving) {
         return MemberState::Draining;
     }
-    const bool silent = now - m_lastHeard > m_options.silence;
-    return !m_trusted || m_lost || silent ? MemberState::Starting : MemberState::Ready;
+    const bool timedOut = now - m_lastContact > m_options.silence;
+    return !m_trusted || m_connectionLost || timedOut ? MemberState::Starting : MemberState::Ready;
 }
 
 const std::optional<TargetAnnouncement> &TargetRegistration::target() const
--- a/src/core/fleet/targetregistration.h
+++ b/src/core/fleet/targetregistration.h
@@ -10,50 +10,50 @@
 
 namespace Galenahill {
 
-// What a target says of itself in a heartbeat.
+// Content of a target's heartbeat.
 struct TargetAnnouncement
 {
-    // Name that the target gives itself. A restart may keep it.
+    // Name that the target gives itself; a restart may keep it.
     std::string id;
-    // Milliseconds since the epoch at its start, by its own clock: orders
-    // starts under one address.
+    // Start time by the target's own clock, in milliseconds since the epoch: orders the starts at
+    // one address.
     std::int64_t startedAt = 0;
-    // Grows with each announcement of one start.
+    // Increases with each announcement of one start.
     std::uint64_t sequence = 0;
     ServiceName service;
     Endpoint address;
     DataCentre dataCentre;
     TargetVersion version;
-    // Calls that it runs at a time.
+    // Calls that it runs concurrently.
     std::uint32_t slots = 1;
     bool draining = false;
-    // Time for which it is still slow after its start.
+    // Remaining time for which it is slow after its start.
     Milliseconds warmUpLeft{0};
 };
 
-// Follows the one target beside this node through its announcements, which may
-// arrive late, twice, out of order, or come from a start that has ended.
+// Tracks the one target beside this node through its announcements, which may be late, duplicated,
+// reordered, or from a start that has ended.
 class TargetRegistration
 {
 public:
     struct Options
     {
-        // The only address at which the target of this VM can be.
+        // The only address at which the target of this VM can listen.
         Endpoint address;
         ServiceName service;
-        // Whether the whole fleet starts for the first time, so that no
-        // earlier process of this node can have seen the target leave.
+        // Whether the whole fleet starts for the first time, so that no earlier process of this
+        // node can have been told that the target leaves.
         bool firstStart = false;
-        // Time without an announcement after which the target counts as gone.
+        // Time without an announcement after which the target counts as not ready.
         Milliseconds silence{6000};
     };
 
     enum class Verdict {
-        // News; the state may have changed.
+        // New information; the state may have changed.
         Taken,
-        // Known already, or overtaken by later news.
+        // Known already, or superseded by a later announcement.
         Stale,
-        // Not of the target beside this node.
+        // Not from the target beside this node.
         Foreign,
     };
 
@@ -61,23 +61,22 @@
 
     Verdict announced(const TargetAnnouncement &target, TimePoint now);
 
-    // The target of that id takes no more calls. The start is given if the
-    // target said it.
+    // The target with this id accepts no more calls. The start time is given if the target sent it.
     Verdict left(const std::string &id, std::optional<std::int64_t> startedAt);
 
-    // What the target answered when it was asked whether it takes calls.
+    // The target answered a health check.
     void checked(const std::string &id, bool healthy, TimePoint now);
 
-    // A connection to the target was refused or broke. It counts as not ready
-    // until it announces itself again.
+    // A connection to the target was refused or broke. The target counts as not ready until its
+    // next announcement.
     void lost();
 
-    // Whether the target has to be asked before it gets its first call.
+    // Whether the target needs a health check before its first call.
     bool needsCheck() const;
 
     MemberState state(TimePoint now) const;
 
-    // The target as it last announced itself; nothing before that.
+    // The last announcement of the target; none before the first.
     const std::optional<TargetAnnouncement> &target() const;
 
 private:
@@ -85,12 +84,12 @@
 
     Options m_options;
     std::optional<TargetAnnouncement> m_target;
-    // Id of a target that left before this process had heard of it; empty: none.
-    std::string m_leftUnknown;
+    // Id of a target that left before this process had an announcement of it; empty for none.
+    std::string m_leftBeforeAnnounced;
     bool m_leaving = false;
-    bool m_lost = false;
+    bool m_connectionLost = false;
     bool m_trusted = false;
-    TimePoint m_lastHeard;
+    TimePoint m_lastContact;
 };
 
 }
--- a/src/core/fleet/watcherchoice.h
+++ b/src/core/fleet/watcherchoice.h
@@ -7,20 +7,20 @@
 
 namespace Galenahill {
 
-// Which members of a data centre watch the store, in rendezvous order. Every change
-// comes to each of them in full, so that members with fast links go first.
+// Selects the members that watch the store, in the rendezvous-hash order of each data centre. Every
+// change is sent to each watcher in full, so members with fast links are preferred.
 struct WatcherChoice
 {
-    // Watchers of each data centre at the most.
+    // Maximum number of watchers per data centre.
     std::size_t perDataCentre = 4;
 
-    // Watchers of the whole fleet at the most, but at least `leastPerDataCentre` in
-    // each. Each change costs one call to the store a watcher.
+    // Maximum number of watchers in the whole fleet, though at least `minPerDataCentre` in each
+    // data centre. Each change costs one store call per watcher.
     std::size_t most = 16;
     std::size_t leastPerDataCentre = 2;
 
-    // Fast watchers in the whole fleet that are enough to outlive the loss of half of
-    // it. With fewer, slow ones watch as well.
+    // Number of watchers with fast links in the whole fleet that is enough to survive the loss of
+    // half of it. With fewer, members with slow links watch as well.
     std::size_t enough = 6;
 
     bool chooses(const MemberRecord &self, const std::vector<MemberRecord> &live) const;
