--- a/autotests/support/fakeobjectstore.h
+++ b/autotests/support/fakeobjectstore.h
@@ -9,7 +9,7 @@
 
 namespace Galenahill {
 
-// The platform's object API in memory, with faults on demand.
+// The platform's object API in memory, with injected faults.
 class FakeObjectStore : public ObjectStore
 {
 public:
@@ -17,20 +17,18 @@
     std::uint64_t lastVersion = 0;
     std::size_t calls = 0;
 
-    // Called before each operation; an error returned here is the answer and
-    // nothing happens.
+    // Called before each operation; an error returned here is the result, and the operation isn't
+    // executed.
     std::function<std::optional<Error>(const std::string &operation, const std::string &key)> before;
 
-    // Called after each write that took effect; an error returned here
-    // replaces the answer.
+    // Called after each write that took effect; an error returned here replaces the result.
     std::function<std::optional<Error>(const std::string &key)> afterWrite;
 
-    // Asked before each write; true delays it: the answer is lost at once, and
-    // the write lands when landDelayed is called.
+    // Called before each write; true delays it: the response is lost immediately, and the write
+    // takes effect when applyDelayedWrites is called.
     std::function<bool(const std::string &key)> delays;
 
-    // Carries out the delayed writes in the order sent, as far as the versions
-    // that they expect still hold.
+    // Executes the delayed writes in the order sent, if the versions that they expect still match.
     void landDelayed()
     {
         for (const auto &[key, value, expected] : std::exchange(m_delayed, {})) {
--- a/autotests/support/rolloutfleet.cpp
+++ b/autotests/support/rolloutfleet.cpp
@@ -18,7 +18,7 @@
 
 RolloutFleet::Result RolloutFleet::run()
 {
-    m_order = {Service, TargetVersion("v2"), m_options.duration, ObjectVersion(10)};
+    m_spec = {Service, TargetVersion("v2"), m_options.duration, ObjectVersion(10)};
     changeStore(std::nullopt);
     const auto steps = static_cast<std::size_t>(m_options.duration * 1.3 / Step);
     for (std::size_t step = 0; step < steps; ++step) {
@@ -79,12 +79,12 @@
         .targetIdle = [this, i] { return m_nodes[i].running.empty(); },
         .changed = [](const RolloutRecord &, const std::string &) {}});
     node.split = std::make_unique<VersionSplit>(m_options.seed * 1000 + i);
-    node.control->setOwnVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - secondsSinceOrder() : m_now);
+    node.control->setOwnVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - timeSinceStart() : m_now);
     node.control->setMembers(members(), m_now);
     node.read = ObjectVersion();
 }
 
-Milliseconds RolloutFleet::secondsSinceOrder() const
+Milliseconds RolloutFleet::timeSinceStart() const
 {
     return Milliseconds(static_cast<std::int64_t>(std::min(m_seconds, NewWarmAt) * 1000));
 }
@@ -133,12 +133,12 @@
     const auto rules = m_nodes[node].control->rules(m_now);
     const auto rule = rules.find(Service);
     m_nodes[node].rule = rule == rules.end() ? std::nullopt : std::optional(rule->second);
-    m_nodes[node].ownRule = m_nodes[node].control->ownRule(m_now);
+    m_nodes[node].localRule = m_nodes[node].control->ownRule(m_now);
 }
 
-bool RolloutFleet::takes(std::size_t target, bool assigned) const
+bool RolloutFleet::accepts(std::size_t target, bool assigned) const
 {
-    const auto &rule = m_nodes[target].ownRule;
+    const auto &rule = m_nodes[target].localRule;
     if (!rule) {
         return true;
     }
@@ -154,7 +154,7 @@
     return false;
 }
 
-std::optional<std::size_t> RolloutFleet::place(bool onNew, bool assigned, const std::vector<NodeName> &chosen)
+std::optional<std::size_t> RolloutFleet::chooseTarget(bool onNew, bool assigned, const std::vector<NodeName> &chosen)
 {
     const auto first = onNew ? m_options.oldTargets : 0;
     const auto count = onNew ? m_options.newTargets : m_options.oldTargets;
@@ -163,7 +163,7 @@
         const auto target = first + (offset + i) % count;
         const auto &node = m_nodes[target];
         const bool meant = chosen.empty() || std::find(chosen.begin(), chosen.end(), node.record.name) != chosen.end();
-        if (meant && node.running.size() < m_options.slots && takes(target, assigned)) {
+        if (meant && node.running.size() < m_options.slots && accepts(target, assigned)) {
             return target;
         }
     }
@@ -186,9 +186,9 @@
     const bool trial = rule.mode == VersionRule::Mode::Trial;
     const bool only = rule.mode == VersionRule::Mode::Only;
     const bool assigned = m_seconds >= NewReadyAt && trial && m_nodes[ingress].split->next(Service, rule.share);
-    auto target = assigned || only ? place(true, assigned, rule.targets) : std::nullopt;
+    auto target = assigned || only ? chooseTarget(true, assigned, rule.targets) : std::nullopt;
     if (!target && !only) {
-        target = place(false, false, {});
+        target = chooseTarget(false, false, {});
     }
     if (!target) {
         ++m_result.unplaced;
@@ -223,7 +223,7 @@
     node.running.push_back(call);
     if (ofNew) {
         ++m_result.newVersionCalls;
-        m_result.afterCutOff += m_fiftiethBad && m_seconds > *m_fiftiethBad + 5 ? 1 : 0;
+        m_result.afterCutOff += m_fiftiethBadAt && m_seconds > *m_fiftiethBadAt + 5 ? 1 : 0;
     }
 }
 
@@ -236,8 +236,8 @@
             }
             node.control->callEnded(RouteName("route-" + std::to_string(call.route)), call.how, call.time, m_now);
             m_result.badAnswers += call.bad ? 1 : 0;
-            if (m_result.badAnswers >= 50 && !m_fiftiethBad) {
-                m_fiftiethBad = m_seconds;
+            if (m_result.badAnswers >= 50 && !m_fiftiethBadAt) {
+                m_fiftiethBadAt = m_seconds;
             }
             return true;
         });
@@ -274,7 +274,7 @@
     auto &node = m_nodes[i];
     const bool reads = node.control->isJudge() && node.read != m_version && m_options.storeAnswers(i, m_seconds);
     if (reads) {
-        node.control->orderRead({m_order, m_version, m_stage}, node.read == ObjectVersion(), m_now);
+        node.control->orderRead({m_spec, m_version, m_stage}, node.read == ObjectVersion(), m_now);
         node.read = m_version;
     }
 }
@@ -292,7 +292,7 @@
             continue;
         }
         changeStore(write.stage);
-        // One answer in four is lost after the write.
+        // One response in four is lost after the write.
         if (uniform() < 0.75) {
             node.control->written(write, m_version, m_now);
         }
--- a/autotests/support/rolloutfleet.h
+++ b/autotests/support/rolloutfleet.h
@@ -12,27 +12,28 @@
 
 namespace Galenahill::Test {
 
-// A fleet in which one service's calls are moved to another version, over the
-// product's own decisions: nodes with their rollouts, targets with slots, datagrams
-// that are late and lost, and the store. No socket, no clock; one seed gives one run.
+// Simulates a fleet that moves a service's calls to another version, with the real rollout code:
+// nodes with their rollouts, targets with slots, delayed and lost datagrams, and the store. Uses no
+// sockets and no clock; the same seed gives the same run.
 class RolloutFleet
 {
 public:
-    // What a target does to a call: how many times as long it takes, and whether it fails.
+    // How a target handles a call: by which factor the call is slowed down, and the probability
+    // that it fails.
     struct Behaviour
     {
         double slowdown = 1;
         double failing = 0;
     };
 
-    // What a target can know of the moment.
+    // State of a target when a call starts.
     struct Situation
     {
         bool ofNewVersion = false;
         std::size_t target = 0;
         std::size_t route = 0;
         double seconds = 0;
-        // Calls that run there, as a share of the slots.
+        // Calls that run at the target, as a share of its slots.
         double load = 0;
         // True for every other call.
         bool odd = false;
@@ -49,13 +50,13 @@
         std::vector<double> routeMs = {210, 60};
         double lostDatagrams = 0.05;
         std::function<Behaviour(const Situation &)> behaviour = [](const Situation &) { return Behaviour(); };
-        // Whether the store answers the node; a node that is cut off neither hears
-        // nor is heard by others.
+        // Whether the store responds to the node, and whether the node is partitioned from the
+        // others.
         std::function<bool(std::size_t node, double seconds)> storeAnswers = [](std::size_t, double) { return true; };
         std::function<bool(std::size_t node, double seconds)> cutOff = [](std::size_t, double) { return false; };
-        // Nodes whose process starts anew at that moment.
+        // Whether the node's process restarts at that time.
         std::function<bool(std::size_t node, double seconds)> restarts = [](std::size_t, double) { return false; };
-        // Calls at that moment as a multiple of the usual rate.
+        // Call rate at that time as a multiple of the usual rate.
         std::function<double(double seconds)> burst = [](double) { return 1.0; };
     };
 
@@ -66,9 +67,9 @@
         std::size_t calls = 0;
         std::size_t newVersionCalls = 0;
         std::size_t badAnswers = 0;
-        // Calls sent to the version later than five seconds after its 50th bad answer.
+        // Calls sent to the new version more than five seconds after its 50th bad response.
         std::size_t afterCutOff = 0;
-        // Calls that ran on old targets as the success was written.
+        // Calls that ran on old targets when the success was written.
         std::size_t runningOnOld = 0;
         std::size_t unplaced = 0;
         std::size_t datagramBytes = 0;
@@ -81,15 +82,15 @@
 
     explicit RolloutFleet(Options options);
 
-    // Plays the order from its beginning to a third beyond its time.
+    // Simulates the rollout from its start to 30% beyond its duration.
     Result run();
 
 private:
     static constexpr Milliseconds Step{20};
     static constexpr Milliseconds Tick{100};
     static inline const ServiceName Service{"tablero"};
-    // Seconds after the order at which the new version's targets take calls, and at
-    // which they are no longer slow.
+    // Seconds after the start of the rollout at which the targets of the new version accept calls,
+    // and at which they are no longer slow.
     static constexpr double NewReadyAt = 2;
     static constexpr double NewWarmAt = 5;
 
@@ -109,7 +110,7 @@
         std::unique_ptr<VersionSplit> split;
         std::vector<Call> running;
         std::optional<VersionRule> rule;
-        std::optional<VersionRule> ownRule;
+        std::optional<VersionRule> localRule;
         ObjectVersion read;
         bool wasRestarting = false;
     };
@@ -129,25 +130,25 @@
     std::size_t m_members = 0;
     TimePoint m_now{std::chrono::hours(1)};
     double m_seconds = 0;
-    RolloutOrder m_order;
+    RolloutOrder m_spec;
     ObjectVersion m_version{10};
     std::optional<RolloutStage> m_stage;
-    std::optional<double> m_fiftiethBad;
+    std::optional<double> m_fiftiethBadAt;
     Result m_result;
 
     double uniform();
     bool isNew(std::size_t node) const;
     MemberRecord recordOf(std::size_t i) const;
-    // The new version's targets join when they are ready.
+    // The targets of the new version join when they are ready.
     std::vector<MemberRecord> members() const;
     void start(std::size_t i);
-    Milliseconds secondsSinceOrder() const;
+    Milliseconds timeSinceStart() const;
     void changeStore(std::optional<RolloutStage> stage);
     void send(std::size_t from, const Endpoint &to, const RolloutReport &report);
     void deliver();
     void updateRule(std::size_t node);
-    bool takes(std::size_t target, bool assigned) const;
-    std::optional<std::size_t> place(bool onNew, bool assigned, const std::vector<NodeName> &chosen);
+    bool accepts(std::size_t target, bool assigned) const;
+    std::optional<std::size_t> chooseTarget(bool onNew, bool assigned, const std::vector<NodeName> &chosen);
     void beginCalls();
     void beginCall(std::size_t ingress);
     void run(std::size_t target);
--- a/autotests/support/scriptedstore.h
+++ b/autotests/support/scriptedstore.h
@@ -6,7 +6,7 @@
 
 namespace Galenahill {
 
-// Gives the scripted answers one after the other, then keeps each call waiting.
+// Returns the scripted results one after the other, then blocks every further call.
 class ScriptedStore : public DocumentStore
 {
 public:
@@ -74,9 +74,9 @@
             ErrorCode ignored;
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
-        auto answer = std::move(answers.front());
+        auto response = std::move(answers.front());
         answers.pop_front();
-        co_return answer;
+        co_return response;
     }
 
     asio::io_context &m_context;
--- a/autotests/unit/acceptanceracetest.cpp
+++ b/autotests/unit/acceptanceracetest.cpp
@@ -11,13 +11,12 @@
 namespace {
 
 constexpr int Seeds = 6;
-// Enough that contents fall out of the kept revisions and come back.
+// Enough for blobs to fall out of the kept revisions and to be written again.
 constexpr int StepsPerSeed = 250;
 
-// Three nodes that accept applies and collect over one store. Before each
-// store call another node may step in with an apply or a collection of its
-// own, and each write may be lost before or after it took effect, or land
-// late. One random seed makes one run, which repeats exactly.
+// Three nodes accept applies and collect blobs over one store. Before each store call, another node
+// may run an apply or a collection of its own; each write may be lost before or after it took
+// effect, or take effect late. The same seed gives the same run.
 struct Race
 {
     explicit Race(unsigned seed)
@@ -35,7 +34,7 @@
     std::uint64_t highest = 0;
     std::size_t removed = 0;
     std::set<std::size_t> collecting;
-    std::set<std::string> refused;
+    std::set<std::string> rejected;
     std::vector<ApplyRequest> unknown;
     std::vector<std::unique_ptr<BlobCollector>> collectors;
     ConfigRepository repository{
@@ -56,8 +55,8 @@
         if (chance(3)) {
             store.landDelayed();
         }
-        const bool refuses = operation != "watch" && chance(3);
-        return refuses ? std::optional(Error{ErrorKind::Unavailable, "down"}) : std::nullopt;
+        const bool rejects = operation != "watch" && chance(3);
+        return rejects ? std::optional(Error{ErrorKind::Unavailable, "down"}) : std::nullopt;
     }
 
     void step()
@@ -78,7 +77,7 @@
         run({.id = ApplyId(std::to_string(++lastId)), .file = file, .text = text, .operatorName = "ana", .begunAt = Revision(highest)});
     }
 
-    // One node's collector makes one round at a time.
+    // A node's collector runs one round at a time.
     void collect(std::size_t node)
     {
         if (collecting.insert(node).second) {
@@ -95,11 +94,11 @@
         } else if (outcome.error().kind == ErrorKind::OutcomeUnknown) {
             unknown.push_back(request);
         } else if (outcome.error().kind == ErrorKind::Unavailable) {
-            refused.insert(request.id.value());
+            rejected.insert(request.id.value());
         }
     }
 
-    // The head as the store has it, with all faults off.
+    // The head in the store, with all faults disabled.
     Manifest settledHead()
     {
         store.before = nullptr;
@@ -112,10 +111,10 @@
 
 }
 
-// Operators and collectors race, answers are lost and writes land late, all at
-// random. Whatever the order: an apply that was refused as not accepted never
-// takes effect, no id takes effect twice, numbers grow by one each, and every
-// content that a kept revision names is in the store.
+// Guards against races of operators and collectors while responses are lost and writes take effect
+// late, at random. In every interleaving, an apply that was rejected as not accepted never takes
+// effect, no id takes effect twice, revisions grow by one each, and every blob that a kept revision
+// references is in the store.
 BOOST_AUTO_TEST_CASE(EveryInterleavingKeepsTheInvariants)
 {
     std::size_t accepted = 0;
@@ -133,17 +132,17 @@
         std::uint64_t expected = head.changes.empty() ? 0 : head.changes.front().revision.value();
         for (const auto &change : head.changes) {
             BOOST_TEST(ids.insert(change.id.value()).second, "seed " << seed << ": apply " << change.id << " took effect twice");
-            BOOST_TEST(race.refused.count(change.id.value()) == 0U, "seed " << seed << ": refused apply " << change.id << " took effect");
+            BOOST_TEST(race.rejected.count(change.id.value()) == 0U, "seed " << seed << ": rejected apply " << change.id << " took effect");
             BOOST_TEST(change.revision.value() == expected++);
             const auto manifest = head.at(change.revision);
             BOOST_REQUIRE(manifest.has_value());
             const auto bundle = race.repository.readBundle(*manifest, nullptr);
-            BOOST_TEST((bundle && bundle->verify()), "seed " << seed << ": revision " << change.revision << " isn't whole");
+            BOOST_TEST((bundle && bundle->verify()), "seed " << seed << ": revision " << change.revision << " is incomplete");
         }
         accepted += head.revision.value();
         removed += race.removed;
     }
-    BOOST_TEST_MESSAGE("accepted: " << accepted << ", contents removed: " << removed);
+    BOOST_TEST_MESSAGE("accepted: " << accepted << ", blobs removed: " << removed);
     BOOST_TEST(accepted > static_cast<std::size_t>(Seeds) * 100);
     BOOST_TEST(removed > static_cast<std::size_t>(Seeds) * 10);
 }
--- a/autotests/unit/blobcollectortest.cpp
+++ b/autotests/unit/blobcollectortest.cpp
@@ -42,7 +42,7 @@
         return store.objects.count(blob(number)) > 0;
     }
 
-    // So many applies that what was in force before is no longer kept.
+    // Applies so many changes that what was in force before is no longer kept.
     void forgetEarlier()
     {
         for (std::size_t i = 0; i < Manifest::MaxChanges + 1; ++i) {
@@ -50,8 +50,8 @@
         }
     }
 
-    // Every content that the head names is in the store.
-    bool headIsWhole()
+    // Whether every blob that the head references is in the store.
+    bool headIsComplete()
     {
         return repository.readBundle(repository.readHead()->manifest, nullptr).has_value();
     }
@@ -59,7 +59,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(KeepsWhatEarlierRevisionsName, Fixture)
+BOOST_FIXTURE_TEST_CASE(KeepsBlobsOfEarlierRevisions, Fixture)
 {
     apply(1);
     apply(2);
@@ -70,7 +70,7 @@
     BOOST_TEST(repository.earlier(Revision(2)).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(RemovesWhatNoKeptRevisionNamesOnceTheHeadChanged, Fixture)
+BOOST_FIXTURE_TEST_CASE(RemovesUnreferencedBlobsOnceTheHeadChanged, Fixture)
 {
     apply(1);
     forgetEarlier();
@@ -82,11 +82,11 @@
     BOOST_TEST(!isStored(1));
 }
 
-// An apply finds its content in the store already, left from an old revision,
-// and is about to write the head. In between the collector, which noted the
-// content long ago, makes the round that removes it. Without the second write
-// of the content, the accepted head would name one that is gone.
-BOOST_FIXTURE_TEST_CASE(SparesAContentThatARunningApplyNeeds, Fixture)
+// An apply finds its blob in the store already, left from an old revision, and is about to write
+// the head. Before that, a collector that recorded the blob as a candidate long ago runs the round
+// that removes it. If the apply didn't write the blob again, the accepted head would reference a
+// missing one.
+BOOST_FIXTURE_TEST_CASE(KeepsABlobThatARunningApplyNeeds, Fixture)
 {
     apply(1);
     forgetEarlier();
@@ -102,12 +102,12 @@
     };
     BOOST_TEST(apply(1));
     BOOST_TEST(collected);
-    BOOST_TEST(headIsWhole());
+    BOOST_TEST(headIsComplete());
 }
 
-// As above, and the answer to the write of the content is lost before it took
-// effect. Reading the old content back must not be taken for the write.
-BOOST_FIXTURE_TEST_CASE(SparesAContentWhoseWriteWasLost, Fixture)
+// As above, but the write of the blob is lost before it took effect. Reading back the old blob must
+// not be mistaken for the write.
+BOOST_FIXTURE_TEST_CASE(KeepsABlobWhoseWriteWasLost, Fixture)
 {
     apply(1);
     forgetEarlier();
@@ -122,12 +122,12 @@
         return std::nullopt;
     };
     BOOST_TEST(apply(1));
-    BOOST_TEST(headIsWhole());
+    BOOST_TEST(headIsComplete());
 }
 
-// The collector is paused between reading the head and the removal; meanwhile
-// an apply brings the old content back and is accepted. The removal expects
-// the version noted before and fails.
+// The collector is paused between reading the head and the removal; meanwhile an apply writes the
+// old blob again and is accepted. The removal expects the version recorded with the candidate and
+// fails.
 BOOST_FIXTURE_TEST_CASE(RemovalAfterAPauseDoesNoHarm, Fixture)
 {
     apply(1);
@@ -144,11 +144,11 @@
     };
     collector.run();
     BOOST_TEST(paused);
-    BOOST_TEST(headIsWhole());
+    BOOST_TEST(headIsComplete());
 }
 
-// The head is restored from a backup, twice, and doesn't name what the nodes
-// serve. A node that fetches the content in force from the store needs it.
+// The head is restored from a backup, twice, and doesn't reference what the nodes serve. A node
+// that reads the revision in force from the store needs those blobs.
 BOOST_FIXTURE_TEST_CASE(CollectsNothingWhileTheStoreIsBehind, Fixture)
 {
     apply(1);
--- a/autotests/unit/configbundletest.cpp
+++ b/autotests/unit/configbundletest.cpp
@@ -10,7 +10,7 @@
 const std::string Service = "[service ventas]\ndata-centres = rosario-a\nslots = 6\nconnections = 120\n";
 const std::string Route = "[route pedidos]\npath = /ventas\nmethods = POST\nservice = ventas\nidempotent = no\ntimeout-ms = 3000\n";
 
-ConfigBundle wholeBundle()
+ConfigBundle completeBundle()
 {
     ConfigBundle bundle;
     bundle.manifest.revision = Revision(2);
@@ -29,35 +29,34 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(TakesTheWholeRevision)
+BOOST_AUTO_TEST_CASE(AcceptsACompleteRevision)
 {
-    BOOST_TEST(ConfigRevision::fromBundle(wholeBundle()).has_value());
+    BOOST_TEST(ConfigRevision::fromBundle(completeBundle()).has_value());
 }
 
-// A peer or the store gives a revision of which one file is missing, damaged
-// or of another revision. Each part alone would be a valid configuration, so
-// only holding it against the manifest tells that it isn't the whole; served,
-// callers would get "no route" for what was accepted.
-BOOST_AUTO_TEST_CASE(RefusesPartsOfARevision)
+// A peer or the store returns a revision in which one file is missing, damaged or from another
+// revision. Each part alone would be a valid configuration, so only the comparison with the
+// manifest detects it; if it were served, callers would get "no route" for accepted routes.
+BOOST_AUTO_TEST_CASE(RejectsPartsOfARevision)
 {
-    auto missing = wholeBundle();
+    auto missing = completeBundle();
     missing.files.erase(missing.files.begin());
     BOOST_TEST(isCorrupt(missing));
 
-    auto older = wholeBundle();
+    auto older = completeBundle();
     older.files[0].text += "; an earlier text\n";
     BOOST_TEST(isCorrupt(older));
 
-    auto added = wholeBundle();
+    auto added = completeBundle();
     added.files.push_back({FileName("zinc.ini"), Route});
     BOOST_TEST(isCorrupt(added));
 }
 
-// The manifest and the files agree, but a route names a service that no file
-// defines, as a store written by hand could hold. The node keeps what it has.
-BOOST_AUTO_TEST_CASE(RefusesAWholeRevisionThatIsInvalid)
+// The manifest and the files match, but a route refers to a service that no file defines, as a
+// store edited by hand could contain. The node keeps the revision that it has.
+BOOST_AUTO_TEST_CASE(RejectsACompleteRevisionThatIsInvalid)
 {
-    auto bundle = wholeBundle();
+    auto bundle = completeBundle();
     bundle.files.pop_back();
     bundle.manifest.files.erase(FileName("services.ini"));
     const auto revision = ConfigRevision::fromBundle(bundle);
--- a/autotests/unit/configrepositorytest.cpp
+++ b/autotests/unit/configrepositorytest.cpp
@@ -45,7 +45,7 @@
     BOOST_TEST(inForce->snapshot->routes().size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusesWhatLeavesARouteHanging, Fixture)
+BOOST_FIXTURE_TEST_CASE(RejectsChangesThatLeaveADanglingReference, Fixture)
 {
     BOOST_TEST(!apply("1", "routes.ini", RouteText).has_value());
     BOOST_TEST(store.objects.empty());
@@ -57,10 +57,10 @@
     BOOST_TEST((removed.error().kind == ErrorKind::Invalid));
 }
 
-// An operator checks a file, is told that it is valid or why not, and applies
-// it. Were check and acceptance two judgements, or one over files in another
-// order, the apply would be refused after a good check, or in other words.
-BOOST_FIXTURE_TEST_CASE(CheckSaysWhatApplySays, Fixture)
+// An operator checks a file and then applies it. If check and apply used different validation, or
+// validated the files in another order, the apply could be rejected after a successful check, or
+// with another message.
+BOOST_FIXTURE_TEST_CASE(CheckAndApplyGiveTheSameErrors, Fixture)
 {
     apply("1", "m-services.ini", ServiceText);
     apply("2", "n-routes.ini", RouteText);
@@ -74,7 +74,7 @@
         "; a comment\n"};
     std::mt19937 random(7);
     std::uniform_int_distribution<std::size_t> pick(0, parts.size() - 1);
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (int i = 0; i < 400; ++i) {
         const std::string name = i % 2 == 0 ? "a.ini" : "z.ini";
         auto text = parts[pick(random)];
@@ -87,19 +87,19 @@
         const auto applied = apply("try-" + std::to_string(i), name, text);
         BOOST_REQUIRE(checked.has_value() == applied.has_value());
         if (!checked) {
-            ++refused;
+            ++rejected;
             BOOST_REQUIRE(checked.error().message == applied.error().message);
         }
     }
-    BOOST_TEST(refused > 0U);
-    BOOST_TEST(refused < 400U);
-    BOOST_TEST_MESSAGE(refused << " of 400 refused alike");
+    BOOST_TEST(rejected > 0U);
+    BOOST_TEST(rejected < 400U);
+    BOOST_TEST_MESSAGE(rejected << " of 400 rejected alike");
 }
 
-// The operator's client gets no answer though the store took the write. A
-// second apply with the same id must give the first one's outcome: were the
-// file applied again it could undo another operator's later change.
-BOOST_FIXTURE_TEST_CASE(SettlesALostAnswerByApplyId, Fixture)
+// The operator's client gets no response although the store executed the write. A second apply with
+// the same id must return the first one's outcome: applying the file again could revert another
+// operator's later change.
+BOOST_FIXTURE_TEST_CASE(ResolvesALostResponseByApplyId, Fixture)
 {
     store.afterWrite = [](const std::string &key) { return key == "config/head" ? std::optional(Error{ErrorKind::OutcomeUnknown, "lost"}) : std::nullopt; };
     const auto first = apply("1", "services.ini", ServiceText);
@@ -111,7 +111,7 @@
     BOOST_TEST((repository().outcome(ApplyId("9")).error().kind == ErrorKind::NotFound));
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusesAtOnceWhileTheStoreIsDown, Fixture)
+BOOST_FIXTURE_TEST_CASE(RejectsAtOnceWhileTheStoreIsUnavailable, Fixture)
 {
     store.before = [](const std::string &, const std::string &) { return std::optional(Error{ErrorKind::Unavailable, "down"}); };
     const auto outcome = apply("1", "services.ini", ServiceText);
@@ -120,8 +120,8 @@
     BOOST_TEST(outcome.error().message.find("not accepted") == 0U);
 }
 
-// Two operators edit the same file from the same content. Whoever comes second
-// would silently undo the first one's change; the conflict names it instead.
+// Two operators edit the same file, starting from the same content. The second apply would silently
+// revert the first one's change; the conflict names that change instead.
 BOOST_FIXTURE_TEST_CASE(NamesTheOtherRevisionOnConflict, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -133,8 +133,8 @@
     BOOST_TEST(late.error().message.find("revision 2 by ana (apply 2)") != std::string::npos);
 }
 
-// Another operator's apply of an unrelated file wins between reading and
-// writing head. Both changes must be in the result.
+// Another operator's apply of an unrelated file is accepted between reading and writing the head.
+// The result must contain both changes.
 BOOST_FIXTURE_TEST_CASE(KeepsBothUnrelatedFilesAfterALostRace, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -152,9 +152,9 @@
     BOOST_TEST(inForce->bundle.files.size() == 3U);
 }
 
-// The platform is restored from a backup that is older than what nodes serve.
-// Building on its head would take accepted changes back, so the next revision
-// builds on the one in force and is numbered above it.
+// The store is restored from a backup that is older than what the nodes serve. Building on its head
+// would revert accepted changes, so the next revision builds on the one in force and gets a higher
+// number.
 BOOST_FIXTURE_TEST_CASE(BuildsOnTheRevisionInForceWhenTheStoreIsOlder, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -168,11 +168,11 @@
     BOOST_TEST(repository().readBundle(inForce->bundle.manifest, nullptr).has_value());
 }
 
-// The head write's answer is lost and the write itself is still on its way
-// when the head is read again: the change isn't there yet. Saying "not
-// accepted" would be wrong a moment later. The same write is sent again on the
-// same version, so the late one finds another version and is void.
-BOOST_FIXTURE_TEST_CASE(SettlesAWriteThatLandsAfterTheReadingBack, Fixture)
+// The response to the head write is lost, and the write is still in flight when the head is read
+// back: the change isn't there yet. Reporting "not accepted" would be wrong a moment later. The
+// same write is sent again with the same expected version, so the late one finds another version
+// and fails.
+BOOST_FIXTURE_TEST_CASE(ResolvesAWriteThatTakesEffectAfterTheReadBack, Fixture)
 {
     apply("1", "services.ini", ServiceText);
     int delayed = 0;
@@ -186,9 +186,9 @@
     BOOST_TEST(repository().readHead()->manifest.files.at(FileName("services.ini")) == contentHash(ServiceText + "; three\n"));
 }
 
-// No head write gets an answer and all land later, while the operator holds
-// "outcome unknown" and repeats with the same id. One of them takes effect.
-BOOST_FIXTURE_TEST_CASE(RepeatAfterUnknownOutcomeTakesEffectOnce, Fixture)
+// No head write gets a response and all take effect later, while the operator was told "outcome
+// unknown" and retries with the same id. Exactly one of them takes effect.
+BOOST_FIXTURE_TEST_CASE(RetryAfterUnknownOutcomeTakesEffectOnce, Fixture)
 {
     store.delays = [](const std::string &key) { return key == "config/head"; };
     const auto first = apply("1", "services.ini", ServiceText);
@@ -201,35 +201,35 @@
     BOOST_TEST(repository().readHead()->manifest.changes.size() == 1U);
 }
 
-// The operator repeats an apply whose answer was lost, a day and more than
-// MaxChanges applies by others later. Its id isn't among the changes kept any
-// more; run again it would undo what others did to the file.
-BOOST_FIXTURE_TEST_CASE(RefusesARepeatWhoseFirstRunMayBeForgotten, Fixture)
+// The operator retries an apply whose response was lost, after more than MaxChanges applies by
+// others. Its id is no longer among the changes kept; applied again, it would revert what others
+// have changed in the file.
+BOOST_FIXTURE_TEST_CASE(RejectsARetryWhoseFirstAttemptMayBeForgotten, Fixture)
 {
     apply("first", "services.ini", ServiceText);
     for (std::size_t i = 0; i < Manifest::MaxChanges + 1; ++i) {
         apply("other" + std::to_string(i), "services.ini", ServiceText + "; " + std::to_string(i) + "\n");
     }
     const auto before = repository().readHead()->manifest;
-    const ApplyRequest repeat{.id = ApplyId("first"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .begunAt = Revision(0)};
-    const auto outcome = repository().apply(repeat);
+    const ApplyRequest retry{.id = ApplyId("first"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .begunAt = Revision(0)};
+    const auto outcome = repository().apply(retry);
     BOOST_REQUIRE(!outcome.has_value());
     BOOST_TEST((outcome.error().kind == ErrorKind::OutcomeUnknown));
     BOOST_TEST((repository().readHead()->manifest == before));
 }
 
-// The store takes a content but its answer is lost, each time. The apply must
-// go on: the content is there, and nothing is accepted before the head.
-BOOST_FIXTURE_TEST_CASE(GoesOnWhenTheAnswerToAContentIsLost, Fixture)
+// The store writes a blob but the response is lost, every time. The apply must continue: the blob
+// is there, and nothing is accepted before the head is written.
+BOOST_FIXTURE_TEST_CASE(ContinuesWhenTheResponseToABlobWriteIsLost, Fixture)
 {
     store.afterWrite = [](const std::string &key) { return key == "config/head" ? std::nullopt : std::optional(Error{ErrorKind::OutcomeUnknown, "lost"}); };
     BOOST_TEST(apply("1", "services.ini", ServiceText).has_value());
 }
 
-// The store is restored to revision 1, this node has 2 in force, and other
-// members 3, which hasn't come here yet. Numbering the next revision 3 or
-// building it on 2 would take the members' change back.
-BOOST_FIXTURE_TEST_CASE(WaitsForTheHighestKnownAlsoWhenTheStoreIsOlder, Fixture)
+// The store is restored to revision 1, this node has 2 in force, and other members have 3, which
+// hasn't reached this node yet. Numbering the next revision 3 or building it on 2 would revert the
+// members' change.
+BOOST_FIXTURE_TEST_CASE(WaitsForTheHighestKnownRevisionAlsoWhenTheStoreIsOlder, Fixture)
 {
     apply("1", "services.ini", ServiceText);
     const auto backup = store.objects;
@@ -241,10 +241,10 @@
     BOOST_TEST((outcome.error().kind == ErrorKind::Unavailable));
 }
 
-// The store is restored to revision 1, and a node that knows no other accepts
-// a revision 2 of its own, while the rest serve another revision 2. Both
-// operators were told "accepted", so the next revision has both changes.
-BOOST_FIXTURE_TEST_CASE(JoinsTwoHistoriesWithOneNumber, Fixture)
+// The store is restored to revision 1, and a node that knows of no other accepts its own revision
+// 2, while the rest serve another revision 2. Both operators were told "accepted", so the next
+// revision has both changes.
+BOOST_FIXTURE_TEST_CASE(MergesTwoHistoriesWithTheSameNumber, Fixture)
 {
     apply("1", "services.ini", ServiceText);
     const auto backup = store.objects;
@@ -264,8 +264,8 @@
     BOOST_TEST(repository().readBundle(inForce->bundle.manifest, nullptr).has_value());
 }
 
-// As above, but the forked change is of the same file. What is in force stays,
-// and the operator learns which accepted change isn't.
+// As above, but the forked change is of the same file. The revision in force is kept, and the
+// operator is told which accepted change isn't in it.
 BOOST_FIXTURE_TEST_CASE(NamesAForkedChangeThatIsLeftOut, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -285,7 +285,7 @@
     BOOST_TEST(inForce->bundle.file(FileName("services.ini"))->text == ServiceText + "; in force\n");
 }
 
-BOOST_FIXTURE_TEST_CASE(GivesEarlierRevisions, Fixture)
+BOOST_FIXTURE_TEST_CASE(ReturnsEarlierRevisions, Fixture)
 {
     apply("1", "services.ini", ServiceText);
     apply("2", "routes.ini", RouteText);
@@ -298,7 +298,7 @@
     BOOST_TEST((repository().earlier(Revision(4)).error().kind == ErrorKind::NotFound));
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusesIdsAndNamesThatCannotBePrinted, Fixture)
+BOOST_FIXTURE_TEST_CASE(RejectsIdsAndNamesThatCannotBePrinted, Fixture)
 {
     BOOST_TEST((apply("", "services.ini", ServiceText).error().kind == ErrorKind::Invalid));
     BOOST_TEST((apply("a\x1b[2J", "services.ini", ServiceText).error().kind == ErrorKind::Invalid));
@@ -306,31 +306,30 @@
     BOOST_TEST((apply(std::string(1000, 'a'), "services.ini", ServiceText).error().kind == ErrorKind::Invalid));
 }
 
-// The first run's write is still on its way when the operator repeats the
-// apply, and now the store is down. "Not accepted" would be taken for the
-// whole apply, and the first run's write lands a moment later.
-BOOST_FIXTURE_TEST_CASE(RepeatWhileTheStoreIsDownStaysUnknown, Fixture)
+// The first attempt's write is still in flight when the operator retries the apply, and now the
+// store is unavailable. The operator would take "not accepted" as the result of the whole apply,
+// but the first attempt's write takes effect a moment later.
+BOOST_FIXTURE_TEST_CASE(RetryWhileTheStoreIsUnavailableStaysUnknown, Fixture)
 {
     store.delays = [](const std::string &key) { return key == "config/head"; };
     apply("1", "services.ini", ServiceText);
     store.before = [](const std::string &, const std::string &) { return std::optional(Error{ErrorKind::Unavailable, "down"}); };
-    const ApplyRequest repeat{.id = ApplyId("1"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .repeated = true};
-    const auto outcome = repository().apply(repeat);
+    const ApplyRequest retry{.id = ApplyId("1"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .repeated = true};
+    const auto outcome = repository().apply(retry);
     BOOST_REQUIRE(!outcome.has_value());
     BOOST_TEST((outcome.error().kind == ErrorKind::OutcomeUnknown));
 }
 
-// The head grows with the number of files, and a value above the platform's
-// limit would be refused by the store after the contents were written. The
-// apply is refused before, with what to do.
-BOOST_FIXTURE_TEST_CASE(RefusesFilesBeyondTheHeadsSize, Fixture)
+// The head grows with the number of files, and the store would reject a value above the platform's
+// limit after the blobs were written. The apply must be rejected before that, with a remedy.
+BOOST_FIXTURE_TEST_CASE(RejectsFilesBeyondTheHeadsSizeLimit, Fixture)
 {
-    constexpr std::size_t MostBytes = 1000 * 1000;
+    constexpr std::size_t MaxBytes = 1000 * 1000;
     constexpr std::size_t QuotesAndCommas = 6;
     Manifest manifest;
     manifest.revision = Revision(1);
     std::size_t bytes = manifest.toJson().size();
-    while (bytes < MostBytes - 150) {
+    while (bytes < MaxBytes - 150) {
         const auto name = std::to_string(100000 + manifest.files.size());
         const auto text = "[service s" + name + "]\ndata-centres = a\nslots = 1\n";
         const auto [file, added] = manifest.files.emplace(FileName(name + std::string(90, 'x')), contentHash(text));
--- a/autotests/unit/configvalidatortest.cpp
+++ b/autotests/unit/configvalidatortest.cpp
@@ -15,17 +15,17 @@
 const std::string Service = "[service ventas]\ndata-centres = rosario-a\nslots = 6\nconnections = 120\n";
 const std::string Route = "[route pedidos]\npath = /ventas\nmethods = POST\nservice = ventas\nidempotent = no\ntimeout-ms = 1000\n";
 
-std::string faultsOf(const std::string &text)
+std::string errorsOf(const std::string &text)
 {
     const auto snapshot = ConfigSnapshot::validate({{FileName("f.ini"), text}});
     return snapshot ? std::string() : snapshot.error().message;
 }
 
-bool refuses(const std::string &text, const std::string &part)
+bool rejects(const std::string &text, const std::string &part)
 {
-    const auto faults = faultsOf(text);
-    BOOST_TEST_MESSAGE(faults);
-    return faults.find(part) != std::string::npos;
+    const auto errors = errorsOf(text);
+    BOOST_TEST_MESSAGE(errors);
+    return errors.find(part) != std::string::npos;
 }
 
 }
@@ -40,42 +40,42 @@
     BOOST_TEST((*snapshot)->route("GET", "/ventas") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(RefusesRouteToUndefinedServiceWithNearestName)
+BOOST_AUTO_TEST_CASE(RejectsRouteToUndefinedServiceWithNearestName)
 {
     std::string route = Route;
     route.replace(route.find("service = ventas"), 16, "service = venta");
-    BOOST_TEST(refuses(Service + route, "f.ini [route pedidos] service = venta: no such service; did you mean \"ventas\"?"));
+    BOOST_TEST(rejects(Service + route, "f.ini [route pedidos] service = venta: no such service; did you mean \"ventas\"?"));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesCopiedMistakes)
+BOOST_AUTO_TEST_CASE(RejectsCommonMistakes)
 {
-    BOOST_TEST(refuses("", "the file is empty"));
-    BOOST_TEST(refuses("; nothing yet\n", "has comments only"));
-    BOOST_TEST(refuses("\xEF\xBB\xBF" + Service, "byte order mark"));
-    BOOST_TEST(refuses("[service a]\r\nslots = 1\r\n", "carriage return"));
-    BOOST_TEST(refuses(Service + std::string("\0", 1), "binary byte"));
-    BOOST_TEST(refuses(Service + Service, "line 5"));
-    BOOST_TEST(refuses(Service + "slots = 6\n", "duplicate key"));
-    BOOST_TEST(refuses(Service + "slotz = 6\n", "did you mean \"slots\"?"));
-    BOOST_TEST(refuses("[servise x]\nslots = 1\n", "did you mean \"service\"?"));
-    BOOST_TEST(refuses("[service x]\nslots = 0\ndata-centres = a\n", "give a whole number from 1"));
-    BOOST_TEST(refuses("[service x]\nslots = 6\n", "data-centres is missing"));
-    BOOST_TEST(refuses("[service x]\n" + Service, "[service x] has no keys"));
-    BOOST_TEST(refuses(Service + Route + "retries = 100\n", "retries = 100"));
-    BOOST_TEST(refuses(Service + Route + "retries = 1\n", "isn't idempotent is never run again"));
-    BOOST_TEST(refuses(Service + Route + "slo-availability = 100\n", "below 100"));
+    BOOST_TEST(rejects("", "the file is empty"));
+    BOOST_TEST(rejects("; nothing yet\n", "contains only comments"));
+    BOOST_TEST(rejects("\xEF\xBB\xBF" + Service, "byte order mark"));
+    BOOST_TEST(rejects("[service a]\r\nslots = 1\r\n", "carriage return"));
+    BOOST_TEST(rejects(Service + std::string("\0", 1), "binary byte"));
+    BOOST_TEST(rejects(Service + Service, "line 5"));
+    BOOST_TEST(rejects(Service + "slots = 6\n", "duplicate key"));
+    BOOST_TEST(rejects(Service + "slotz = 6\n", "did you mean \"slots\"?"));
+    BOOST_TEST(rejects("[servise x]\nslots = 1\n", "did you mean \"service\"?"));
+    BOOST_TEST(rejects("[service x]\nslots = 0\ndata-centres = a\n", "give a whole number from 1"));
+    BOOST_TEST(rejects("[service x]\nslots = 6\n", "data-centres is missing"));
+    BOOST_TEST(rejects("[service x]\n" + Service, "[service x] has no keys"));
+    BOOST_TEST(rejects(Service + Route + "retries = 100\n", "retries = 100"));
+    BOOST_TEST(rejects(Service + Route + "retries = 1\n", "isn't idempotent is never run again"));
+    BOOST_TEST(rejects(Service + Route + "slo-availability = 100\n", "below 100"));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesTwoRoutesForOnePathAndMethod)
+BOOST_AUTO_TEST_CASE(RejectsTwoRoutesForOnePathAndMethod)
 {
     std::string other = Route;
     other.replace(other.find("pedidos"), 7, "otra");
-    BOOST_TEST(refuses(Service + Route + other, "POST is already taken by [route pedidos]"));
+    BOOST_TEST(rejects(Service + Route + other, "POST is already taken by [route pedidos]"));
 }
 
 namespace {
 
-// The route example with one key's value changed.
+// The example route with the value of one key changed.
 std::string routeWith(const std::string &key, const std::string &value)
 {
     std::string text = Route;
@@ -85,57 +85,57 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(RefusesPathsThatMeanSomethingElse)
+BOOST_AUTO_TEST_CASE(RejectsPathsThatMeanSomethingElse)
 {
-    BOOST_TEST(refuses(routeWith("path", "/ventas/"), "remove the slash at the end"));
+    BOOST_TEST(rejects(routeWith("path", "/ventas/"), "remove the slash at the end"));
     for (const std::string path : {"/ventas/*", "/ventas/{id}", "/ventas/:id", "^/ventas", "/ventas$", "/(a|b)", "\"/ventas\""}) {
-        BOOST_TEST(refuses(routeWith("path", path), "path = " + path));
+        BOOST_TEST(rejects(routeWith("path", path), "path = " + path));
     }
-    BOOST_TEST(refuses(routeWith("path", "/a/../b"), "without '.' and '..'"));
-    BOOST_TEST(refuses(routeWith("path", "/a//b"), "'//'"));
-    BOOST_TEST(refuses(routeWith("path", "/a?x=1"), "'?'"));
-    BOOST_TEST(refuses(routeWith("path", "http://10.0.0.1/ventas"), "begins with '/'"));
-    BOOST_TEST(faultsOf(routeWith("path", "/")).empty());
+    BOOST_TEST(rejects(routeWith("path", "/a/../b"), "without '.' and '..'"));
+    BOOST_TEST(rejects(routeWith("path", "/a//b"), "'//'"));
+    BOOST_TEST(rejects(routeWith("path", "/a?x=1"), "'?'"));
+    BOOST_TEST(rejects(routeWith("path", "http://10.0.0.1/ventas"), "begins with '/'"));
+    BOOST_TEST(errorsOf(routeWith("path", "/")).empty());
 }
 
-// Operators copy a route for uploads and leave "idempotent = yes" in it: its
-// bodies would be gone when a repeat needs them.
-BOOST_AUTO_TEST_CASE(UploadsAreNeverRepeated)
+// Operators copy a route for uploads and leave "idempotent = yes" in it; the body would be gone
+// when a retry needs it.
+BOOST_AUTO_TEST_CASE(UploadsAreNeverRetried)
 {
-    BOOST_TEST(refuses(Service + Route + "large-bodies = maybe\n", "write yes if calls carry bodies"));
+    BOOST_TEST(rejects(Service + Route + "large-bodies = maybe\n", "write yes if calls carry bodies"));
     const std::string reading = "[route lectura]\npath = /lectura\nmethods = PUT\nservice = ventas\nidempotent = yes\ntimeout-ms = 1000\n";
-    BOOST_TEST(refuses(Service + reading + "large-bodies = yes\n", "uploads are never run again"));
+    BOOST_TEST(rejects(Service + reading + "large-bodies = yes\n", "uploads are never run again"));
     const auto accepted = ConfigSnapshot::validate({{FileName("f.ini"), Service + Route + "large-bodies = yes\n"}});
     BOOST_REQUIRE(accepted.has_value());
     BOOST_TEST(((*accepted)->route("POST", "/ventas")->type == CallType::Upload));
 }
 
-// A read route copied for orders keeps "idempotent = yes". The first lost
-// answer would run an order twice.
-BOOST_AUTO_TEST_CASE(RefusesIdempotentForMethodsThatAreNot)
+// A read route that was copied for orders keeps "idempotent = yes". The first lost response would
+// run an order twice.
+BOOST_AUTO_TEST_CASE(RejectsIdempotentForMethodsThatAreNot)
 {
-    BOOST_TEST(refuses(routeWith("idempotent", "yes"), "POST calls are never run again"));
+    BOOST_TEST(rejects(routeWith("idempotent", "yes"), "POST calls are never run again"));
     std::string text = routeWith("methods", "GET, PATCH");
     text.replace(text.find("idempotent = no"), 15, "idempotent = yes");
-    BOOST_TEST(refuses(text, "PATCH calls are never run again"));
+    BOOST_TEST(rejects(text, "PATCH calls are never run again"));
     text.replace(text.find("PATCH"), 5, "PUT");
-    BOOST_TEST(faultsOf(text).empty());
+    BOOST_TEST(errorsOf(text).empty());
 }
 
-BOOST_AUTO_TEST_CASE(RefusesObjectivesThatCannotBeMissed)
+BOOST_AUTO_TEST_CASE(RejectsObjectivesThatCannotBeMissed)
 {
-    BOOST_TEST(refuses(Service + Route + "slo-availability = 99\nslo-latency-ms = 2000\n", "above timeout-ms = 1000"));
-    BOOST_TEST(refuses(Service + Route + "slo-latency-ms = 20\n", "needs slo-availability"));
+    BOOST_TEST(rejects(Service + Route + "slo-availability = 99\nslo-latency-ms = 2000\n", "above timeout-ms = 1000"));
+    BOOST_TEST(rejects(Service + Route + "slo-latency-ms = 20\n", "needs slo-availability"));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesListsWithAnItemTwice)
+BOOST_AUTO_TEST_CASE(RejectsListsWithAnItemTwice)
 {
-    BOOST_TEST(refuses("[service x]\ndata-centres = a, b, a\nslots = 1\n", "a is listed twice"));
-    BOOST_TEST(refuses(routeWith("methods", "POST, POST"), "POST is listed twice"));
-    BOOST_TEST(refuses("[service x]\ndata-centres = \nslots = 1\n", "is no data centre's name"));
+    BOOST_TEST(rejects("[service x]\ndata-centres = a, b, a\nslots = 1\n", "a is listed twice"));
+    BOOST_TEST(rejects(routeWith("methods", "POST, POST"), "POST is listed twice"));
+    BOOST_TEST(rejects("[service x]\ndata-centres = \nslots = 1\n", "is not a valid data centre name"));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesDuplicatesAcrossFiles)
+BOOST_AUTO_TEST_CASE(RejectsDuplicatesAcrossFiles)
 {
     const auto both = ConfigSnapshot::validate({{FileName("a.ini"), Service + Route}, {FileName("b.ini"), Service + Route}});
     BOOST_REQUIRE(!both.has_value());
@@ -143,21 +143,21 @@
     BOOST_TEST(both.error().message.find("b.ini [route pedidos] also defined in a.ini") != std::string::npos);
 }
 
-// The INI reader drops what stands behind a header, and a section without keys
-// if the next one follows. The operator would believe both to be in force.
-BOOST_AUTO_TEST_CASE(RefusesWhatTheReaderWouldDrop)
+// The INI reader drops text after a section header, and a section without keys that another one
+// follows. The operator would believe both to be in force.
+BOOST_AUTO_TEST_CASE(RejectsTextThatTheReaderWouldDrop)
 {
-    BOOST_TEST(refuses("[service ventas-2]\n" + Service, "[service ventas-2] has no keys"));
-    BOOST_TEST(refuses("[service x] slots = 6\ndata-centres = a\nslots = 1\n", "line 1: text behind [service x]"));
+    BOOST_TEST(rejects("[service ventas-2]\n" + Service, "[service ventas-2] has no keys"));
+    BOOST_TEST(rejects("[service x] slots = 6\ndata-centres = a\nslots = 1\n", "line 1: text after [service x]"));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesHostileText)
+BOOST_AUTO_TEST_CASE(RejectsMalformedText)
 {
-    BOOST_TEST(refuses("; caf\xe9\n" + Service, "line 1: not UTF-8"));
-    BOOST_TEST(refuses(Service + "; " + std::string(5000, 'x') + "\n", "line 5: has 5002 bytes"));
-    BOOST_TEST(refuses(Service + "; \x7f\n", "binary byte"));
-    BOOST_TEST(refuses(std::string(ConfigLimits::MaxFileBytes + 1, ';'), "split it"));
-    BOOST_TEST(faultsOf("; señal, café\n" + Service).empty());
+    BOOST_TEST(rejects("; caf\xe9\n" + Service, "line 1: not UTF-8"));
+    BOOST_TEST(rejects(Service + "; " + std::string(5000, 'x') + "\n", "line 5: has 5002 bytes"));
+    BOOST_TEST(rejects(Service + "; \x7f\n", "binary byte"));
+    BOOST_TEST(rejects(std::string(ConfigLimits::MaxFileBytes + 1, ';'), "split it"));
+    BOOST_TEST(errorsOf("; señal, café\n" + Service).empty());
     std::vector<ConfigFile> files;
     for (int i = 0; i < 20; ++i) {
         files.push_back({FileName(std::to_string(i)), fmt::format("[service s{}]\ndata-centres = a\nslots = 1\n", i)});
@@ -167,24 +167,24 @@
     }
     const auto total = ConfigSnapshot::validate(files);
     BOOST_REQUIRE(!total.has_value());
-    BOOST_TEST(total.error().message.find("at most 16777216 are taken") != std::string::npos);
+    BOOST_TEST(total.error().message.find("the limit is 16777216") != std::string::npos);
 }
 
-// Thousands of faults in one copied file: the first ones are named and the
-// rest counted, so that the message stays readable and the check short.
-BOOST_AUTO_TEST_CASE(BoundsTheFaultsNamed)
+// Thousands of errors in one copied file: the first ones are listed and the rest counted, so that
+// the message stays readable and the check fast.
+BOOST_AUTO_TEST_CASE(LimitsTheErrorsListed)
 {
     std::string text;
     for (int i = 0; i < 3000; ++i) {
         text += fmt::format("[route r{0}]\npath = /{0}\nmethods = GET\nservice = venta{0}\nidempotent = no\ntimeout-ms = 1000\n", i);
     }
-    const auto faults = faultsOf(Service + text);
-    BOOST_TEST(std::count(faults.begin(), faults.end(), '\n') == static_cast<int>(ConfigLimits::MaxFaults));
-    BOOST_TEST(faults.find("and 2950 more faults") != std::string::npos);
+    const auto errors = errorsOf(Service + text);
+    BOOST_TEST(std::count(errors.begin(), errors.end(), '\n') == static_cast<int>(ConfigLimits::MaxFaults));
+    BOOST_TEST(errors.find("and 2950 more errors") != std::string::npos);
 }
 
-// The index must find the route that a look at every route would.
-BOOST_AUTO_TEST_CASE(IndexAgreesWithALookAtEveryRoute)
+// The look-up must find the same route as a linear search.
+BOOST_AUTO_TEST_CASE(LookUpAgreesWithALinearSearch)
 {
     std::mt19937 random(7);
     const auto randomPath = [&] {
@@ -212,9 +212,9 @@
         const std::string method = random() % 2 == 0 ? "GET" : "PUT";
         const RouteDefinition *expected = nullptr;
         for (const auto &route : (*snapshot)->routes()) {
-            const bool takes = std::find(route.methods.begin(), route.methods.end(), method) != route.methods.end();
+            const bool accepts = std::find(route.methods.begin(), route.methods.end(), method) != route.methods.end();
             const bool moreSpecific = expected == nullptr || route.path.size() > expected->path.size();
-            if (moreSpecific && takes && pathMatches(route.path, path)) {
+            if (moreSpecific && accepts && pathMatches(route.path, path)) {
                 expected = &route;
             }
         }
@@ -222,7 +222,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(TakesHostsSplitsAndRanks)
+BOOST_AUTO_TEST_CASE(AcceptsHostsSplitsAndPriorities)
 {
     const std::string next = "[service next]\ndata-centres = rosario-a\nslots = 6\nhealth-path = /ready\n";
     const auto more = "host = a.example\nsplit = ventas 90, next 10\npriority = 3\nmax-targets = 2\n";
@@ -238,9 +238,9 @@
     BOOST_TEST(route->maxTargets == 2U);
 }
 
-// An operator has one route for all hosts and one for a single host on the same
-// path. A call to that host takes its own, whichever stands first.
-BOOST_AUTO_TEST_CASE(AHostsOwnRouteGoesFirst)
+// An operator has one route for all hosts and one for a single host on the same path. A call to
+// that host gets its own route, whichever is defined first.
+BOOST_AUTO_TEST_CASE(HostSpecificRouteTakesPrecedence)
 {
     auto own = Route;
     own.replace(own.find("pedidos"), 7, "propios");
@@ -252,19 +252,19 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(RefusesMistakesInHostsSplitsAndRanks)
+BOOST_AUTO_TEST_CASE(RejectsMistakesInHostsSplitsAndPriorities)
 {
-    BOOST_TEST(refuses(Service + Route + "host = a b\n", "give the name that calls carry in Host"));
-    BOOST_TEST(refuses(Service + Route + "split = ventas\n", "give parts as NAME WEIGHT"));
-    BOOST_TEST(refuses(Service + Route + "split = ventas 0\n", "give parts as NAME WEIGHT"));
-    BOOST_TEST(refuses(Service + Route + "split = other 1, ventas 1\n", "begin with service = ventas"));
-    BOOST_TEST(refuses(Service + Route + "split = ventas 1, ventaz 1\n", "no such service; did you mean \"ventas\"?"));
-    BOOST_TEST(refuses(Service + Route + "priority = x\n", "priority = x: give a whole number"));
-    BOOST_TEST(refuses(Service + Route + "max-targets = 0\n", "max-targets = 0: give a whole number from 1"));
-    BOOST_TEST(refuses("[service x]\nslots = 1\ndata-centres = a\nhealth-path = ready\n", "give a path that begins with '/'"));
+    BOOST_TEST(rejects(Service + Route + "host = a b\n", "give the name that calls carry in Host"));
+    BOOST_TEST(rejects(Service + Route + "split = ventas\n", "give parts as NAME WEIGHT"));
+    BOOST_TEST(rejects(Service + Route + "split = ventas 0\n", "give parts as NAME WEIGHT"));
+    BOOST_TEST(rejects(Service + Route + "split = other 1, ventas 1\n", "begin with service = ventas"));
+    BOOST_TEST(rejects(Service + Route + "split = ventas 1, ventaz 1\n", "no such service; did you mean \"ventas\"?"));
+    BOOST_TEST(rejects(Service + Route + "priority = x\n", "priority = x: give a whole number"));
+    BOOST_TEST(rejects(Service + Route + "max-targets = 0\n", "max-targets = 0: give a whole number from 1"));
+    BOOST_TEST(rejects("[service x]\nslots = 1\ndata-centres = a\nhealth-path = ready\n", "give a path that begins with '/'"));
 }
 
-// Operators copy the examples, so each folder must be accepted as it is.
+// Operators copy the examples, so each folder must be valid as it is.
 BOOST_AUTO_TEST_CASE(AcceptsTheExamples)
 {
     for (const auto &folder : std::filesystem::directory_iterator(EXAMPLES_FOLDER)) {
--- a/autotests/unit/decoderfuzztest.cpp
+++ b/autotests/unit/decoderfuzztest.cpp
@@ -14,12 +14,11 @@
 
 constexpr int Rounds = 3000;
 
-// Enough for every well-formed input here, and far below what a hostile length
-// asks for.
+// Enough for every well-formed input here, and far below what a forged length asks for.
 constexpr rlim_t MemoryLimit = rlim_t(1) << 30;
 
-// Changes the text in a few places: flipped bits, bytes from a small set that
-// readers treat specially, pieces cut out, doubled or put elsewhere.
+// Changes the text in a few places: flipped bits, bytes from a small set that parsers treat
+// specially, pieces removed, duplicated or moved.
 class Mutator
 {
 public:
@@ -99,27 +98,26 @@
     return {record, record, record};
 }
 
-// Runs the reader on many damaged forms of the input. A crash ends the
-// program; an error must say something.
+// Runs the decoder on many damaged forms of the input. A crash ends the program; an error must have
+// a message.
 template <typename Reader>
 void fuzz(const std::string &input, Reader read)
 {
     BOOST_REQUIRE(read(input));
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (unsigned seed = 0; seed < Rounds; ++seed) {
         const auto result = read(Mutator(seed).mutate(input));
         if (!result) {
-            ++refused;
+            ++rejected;
             BOOST_TEST(!result.error().message.empty(), "seed " << seed);
         }
     }
-    BOOST_TEST_MESSAGE("refused " << refused << " of " << Rounds);
-    BOOST_TEST(refused > 0U);
+    BOOST_TEST_MESSAGE("rejected " << rejected << " of " << Rounds);
+    BOOST_TEST(rejected > 0U);
 }
 
-// The bytes with each length that stands before the text replaced by one of
-// four gigabytes.
-std::string withHostileLength(std::string bytes, const std::string &text)
+// The bytes with the length in front of the text replaced by one of four gigabytes.
+std::string withForgedLength(std::string bytes, const std::string &text)
 {
     const auto at = bytes.find(text);
     BOOST_REQUIRE(at != std::string::npos && at > 0);
@@ -137,12 +135,12 @@
 
 }
 
-// CAF makes room for a text only after it looked whether the bytes are there;
-// the tests with a hostile length hold it to that.
+// CAF allocates memory for a text only after checking that the bytes are there; the tests with a
+// forged length guard that.
 //
-// What comes from files, the store and other nodes may be damaged or crafted.
-// No reader may crash, ask for memory by a length that it was told, or fail
-// without a word. The address space is limited, so that such a request fails.
+// Data from files, the store and other nodes may be damaged or forged. No decoder may crash,
+// allocate memory according to a length that it was sent, or fail without a message. The address
+// space is limited, so that such an allocation fails.
 BOOST_TEST_GLOBAL_FIXTURE(LimitedMemory);
 
 BOOST_AUTO_TEST_CASE(Validator)
@@ -168,7 +166,7 @@
     GossipMessage message;
     message.updates = members();
     fuzz(encode(message), decodeGossip);
-    BOOST_TEST(!decodeGossip(withHostileLength(encode(message), "vm-1")).has_value());
+    BOOST_TEST(!decodeGossip(withForgedLength(encode(message), "vm-1")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(LoadReportReader)
@@ -177,7 +175,7 @@
     report.targets = {{.target = NodeName("vm-1"), .incarnation = 5, .calls = 3, .limit = 6}, {.target = NodeName("vm-2")}};
     report.pools = {{.dataCentre = DataCentre("rosario-a"), .service = ServiceName("ventas"), .calls = 30, .limit = 60}};
     fuzz(encode(report), decodeLoadReport);
-    BOOST_TEST(!decodeLoadReport(withHostileLength(encode(report), "vm-1")).has_value());
+    BOOST_TEST(!decodeLoadReport(withForgedLength(encode(report), "vm-1")).has_value());
     BOOST_TEST(!decodeLoadReport(encode(GossipMessage())).has_value());
     BOOST_TEST(!isLoadReport(encode(GossipMessage())));
 }
@@ -193,20 +191,20 @@
     fuzz(encode(report), decodeRolloutReport);
     BOOST_TEST((decodeRolloutReport(encode(report))->records.front().order.duration == Milliseconds(12000)));
     BOOST_TEST((decodeRolloutReport(encode(report))->counts.front().routes == counts.routes));
-    BOOST_TEST(!decodeRolloutReport(withHostileLength(encode(report), "vm-1")).has_value());
+    BOOST_TEST(!decodeRolloutReport(withForgedLength(encode(report), "vm-1")).has_value());
     BOOST_TEST(!isRolloutReport(encode(LoadReport())));
 }
 
 BOOST_AUTO_TEST_CASE(MemberReader)
 {
     fuzz(encode(members()), decodeMembers);
-    BOOST_TEST(!decodeMembers(withHostileLength(encode(members()), "vm-1")).has_value());
+    BOOST_TEST(!decodeMembers(withForgedLength(encode(members()), "vm-1")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(BundleReader)
 {
     fuzz(encode(bundle()), decodeBundle);
-    BOOST_TEST(!decodeBundle(withHostileLength(encode(bundle()), "fedcba")).has_value());
+    BOOST_TEST(!decodeBundle(withForgedLength(encode(bundle()), "fedcba")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(DeltaReader)
--- a/autotests/unit/rolloutfleettest.cpp
+++ b/autotests/unit/rolloutfleettest.cpp
@@ -14,7 +14,7 @@
 using Situation = RolloutFleet::Situation;
 using Fault = std::function<Behaviour(const Situation &)>;
 
-Behaviour failing(const Situation &at, bool when)
+Behaviour failingIf(const Situation &at, bool when)
 {
     return {.slowdown = 1, .failing = at.ofNewVersion && when ? 0.5 : 0};
 }
@@ -22,55 +22,55 @@
 const std::map<std::string, Fault> &badVersions()
 {
     static const std::map<std::string, Fault> faults = {
-        {"errors", [](const Situation &at) { return failing(at, true); }},
+        {"errors", [](const Situation &at) { return failingIf(at, true); }},
         {"slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 8.0 : 1.0, .failing = 0}; }},
         {"half of the calls slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion && at.odd ? 8.0 : 1.0, .failing = 0}; }},
         {"four times as slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 4.0 : 1.0, .failing = 0}; }},
-        {"one route", [](const Situation &at) { return failing(at, at.route == 1); }},
-        {"late", [](const Situation &at) { return failing(at, at.seconds > 7); }},
-        {"under load", [](const Situation &at) { return failing(at, at.load > 0.6); }},
+        {"one route", [](const Situation &at) { return failingIf(at, at.route == 1); }},
+        {"late", [](const Situation &at) { return failingIf(at, at.seconds > 7); }},
+        {"under load", [](const Situation &at) { return failingIf(at, at.load > 0.6); }},
     };
     return faults;
 }
 
-// Whatever else happens: troubles that touch both versions, or only some nodes.
-const std::map<std::string, std::function<void(RolloutFleet::Options &)>> &troubles()
+// Disturbances that affect both versions, or only some nodes.
+const std::map<std::string, std::function<void(RolloutFleet::Options &)>> &disturbances()
 {
     using Options = RolloutFleet::Options;
     static const std::map<std::string, std::function<void(Options &)>> all = {
         {"none", [](Options &) {}},
-        {"store out", [](Options &options) { options.storeAnswers = [](std::size_t, double at) { return at < 3 || at > 8; }; }},
-        {"store refuses a third", [](Options &options) { options.storeAnswers = [](std::size_t node, double) { return node % 3 != 0; }; }},
-        {"nodes cut off", [](Options &options) { options.cutOff = [](std::size_t node, double at) { return node % 7 == 0 && at > 3 && at < 8; }; }},
+        {"store not responding", [](Options &options) { options.storeAnswers = [](std::size_t, double at) { return at < 3 || at > 8; }; }},
+        {"store rejects a third of the nodes", [](Options &options) { options.storeAnswers = [](std::size_t node, double) { return node % 3 != 0; }; }},
+        {"nodes partitioned", [](Options &options) { options.cutOff = [](std::size_t node, double at) { return node % 7 == 0 && at > 3 && at < 8; }; }},
         {"half restarted", [](Options &options) { options.restarts = [](std::size_t node, double at) { return node % 2 == 0 && at > 5 && at < 5.2; }; }},
         {"burst", [](Options &options) { options.burst = [](double at) { return at > 6 && at < 9 ? 1.7 : 1.0; }; }},
     };
     return all;
 }
 
-RolloutFleet::Result played(std::uint64_t seed, const Fault &fault, const std::function<void(RolloutFleet::Options &)> &trouble)
+RolloutFleet::Result simulate(std::uint64_t seed, const Fault &fault, const std::function<void(RolloutFleet::Options &)> &disturbance)
 {
     RolloutFleet::Options options;
     options.seed = seed;
     options.behaviour = fault;
-    trouble(options);
+    disturbance(options);
     return RolloutFleet(std::move(options)).run();
 }
 
-Behaviour sound(const Situation &)
+Behaviour noFault(const Situation &)
 {
     return {};
 }
 
 }
 
-BOOST_AUTO_TEST_CASE(ABadVersionIsCutOffBeforeItsExposureIsUsedUp)
+BOOST_AUTO_TEST_CASE(BadVersionIsCutOffWithinItsExposure)
 {
     for (const auto &[variant, fault] : badVersions()) {
-        for (const auto &[name, trouble] : troubles()) {
-            BOOST_TEST_CONTEXT(variant << " beside " << name)
+        for (const auto &[name, disturbance] : disturbances()) {
+            BOOST_TEST_CONTEXT(variant << " with disturbance " << name)
             {
-                const auto result = played(1, fault, trouble);
+                const auto result = simulate(1, fault, disturbance);
                 const auto allowed = ExposureShare * static_cast<double>(result.calls) / 1.3 + ExposureSlack;
                 BOOST_TEST(static_cast<double>(result.newVersionCalls) <= allowed);
                 BOOST_TEST(result.afterCutOff == 0U);
@@ -81,14 +81,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(AGoodVersionSucceedsInTimeInAllSeeds)
+BOOST_AUTO_TEST_CASE(GoodVersionSucceedsInTimeWithAllSeeds)
 {
     std::uint64_t seed = 100;
     for (int round = 0; round < 9; ++round) {
-        for (const auto &[name, trouble] : troubles()) {
-            BOOST_TEST_CONTEXT("seed " << ++seed << " beside " << name)
+        for (const auto &[name, disturbance] : disturbances()) {
+            BOOST_TEST_CONTEXT("seed " << ++seed << " with disturbance " << name)
             {
-                const auto result = played(seed, sound, trouble);
+                const auto result = simulate(seed, noFault, disturbance);
                 BOOST_TEST((result.end() == RolloutStage::Succeeded));
                 BOOST_TEST(result.writtenAt <= 16.0);
                 BOOST_TEST(result.runningOnOld == 0U);
@@ -97,8 +97,8 @@
     }
 }
 
-// Guards against a good version that is blamed for what also happens to the others.
-BOOST_AUTO_TEST_CASE(TroublesOfBothVersionsDontConvict)
+// Guards against rejecting a good version for faults that the other versions have as well.
+BOOST_AUTO_TEST_CASE(FaultsOfBothVersionsDontRejectTheNewOne)
 {
     const std::map<std::string, Fault> shared = {
         {"one old target in seven fails", [](const Situation &at) { return Behaviour{.slowdown = 1, .failing = at.target % 7 == 0 ? 0.45 : 0}; }},
@@ -111,15 +111,15 @@
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
             BOOST_TEST_CONTEXT(name << ", seed " << seed)
             {
-                BOOST_TEST((played(seed, fault, [](RolloutFleet::Options &) {}).end() == RolloutStage::Succeeded));
+                BOOST_TEST((simulate(seed, fault, [](RolloutFleet::Options &) {}).end() == RolloutStage::Succeeded));
             }
         }
     }
 }
 
-// The shares are worked out for these rates and times; below some twenty calls a second
-// a bad version shows too late, and a good one isn't promoted.
-BOOST_AUTO_TEST_CASE(OtherRatesAndTimes)
+// The shares are designed for these rates and durations. Below some twenty calls a second, a bad
+// version is detected too late and a good one isn't promoted.
+BOOST_AUTO_TEST_CASE(OtherRatesAndDurations)
 {
     struct Size
     {
--- a/autotests/unit/rolloutmodeltest.cpp
+++ b/autotests/unit/rolloutmodeltest.cpp
@@ -1,6 +1,7 @@
-// All runs of a small fleet that decides on one rollout: verdicts of several judges,
-// reports in any order, lost or repeated, writes that race and whose answers are lost,
-// restarts. Explored over the product's own RolloutEntry.
+// Explores all states of a small fleet that decides on one rollout, with the real RolloutEntry:
+// decisions of several evaluators, reports that are reordered, lost or duplicated, racing writes
+// and lost responses, restarts. Guards against two different final stages and against a success
+// that stops an old target which still runs a call.
 
 #include "core/rollouts/rolloutentry.h"
 
@@ -13,17 +14,17 @@
 
 namespace {
 
-constexpr std::size_t Judges = 2;
-// The last node stands beside the only target of the old version.
-constexpr std::size_t OldNode = Judges;
-constexpr std::size_t Nodes = Judges + 1;
+constexpr std::size_t Evaluators = 2;
+// The last node is beside the only target of the old version.
+constexpr std::size_t OldNode = Evaluators;
+constexpr std::size_t Nodes = Evaluators + 1;
 
 const TimePoint Now{std::chrono::hours(1)};
 const NodeName OldTarget{"old"};
 
-RolloutRecord begun()
+RolloutRecord startedRecord()
 {
-    // Old enough for each step of the plan to be over.
+    // Old enough for every step of the share plan to be over.
     return {.order = {ServiceName("tablero"), TargetVersion("v2"), Milliseconds(10000), ObjectVersion(1)},
         .seen = ObjectVersion(1),
         .stage = RolloutStage::Running,
@@ -34,7 +35,7 @@
 
 RolloutEntry newEntry()
 {
-    RolloutEntry entry(begun(), {}, Now - std::chrono::seconds(1));
+    RolloutEntry entry(startedRecord(), {}, Now - std::chrono::seconds(1));
     entry.takeStored(ObjectVersion(1), RolloutStage::Running, Now);
     return entry;
 }
@@ -44,12 +45,13 @@
     std::vector<RolloutEntry> nodes = std::vector<RolloutEntry>(Nodes, newEntry());
     std::uint64_t version = 1;
     std::optional<RolloutStage> stored = RolloutStage::Running;
-    int verdicts = 0;
-    // A call runs at the old target, and the node beside it says that none will.
+    int finalStages = 0;
+    // Whether a call runs at the old target, and whether the node beside it has reported that none
+    // will.
     bool oldRuns = true;
     bool oldRetired = false;
-    // Judges that believe the report of it; they stop to before the promise ends.
-    std::vector<bool> believes = std::vector<bool>(Judges, false);
+    // Evaluators that rely on that report; they stop doing so before the retirement lease ends.
+    std::vector<bool> trustsReport = std::vector<bool>(Evaluators, false);
     int restartsLeft = 1;
 
     std::string key() const
@@ -57,34 +59,35 @@
         std::string key;
         for (const auto &node : nodes) {
             key += std::to_string(static_cast<int>(node.stage())) + "/" + std::to_string(node.record(Now).seen.value()) + (node.isCertain() ? "," : "?,");
-            const auto wanted = node.wantedInStore(census(), Now);
+            const auto wanted = node.wantedInStore(targets(), Now);
             key += wanted ? std::to_string(static_cast<int>(*wanted)) : "-";
         }
         key += "|" + std::to_string(version) + (stored ? std::to_string(static_cast<int>(*stored)) : "-");
-        return key + (oldRuns ? "r" : "") + (oldRetired ? "t" : "") + (believes[0] ? "0" : "") + (believes[1] ? "1" : "") + std::to_string(restartsLeft);
+        return key + (oldRuns ? "r" : "") + (oldRetired ? "t" : "") + (trustsReport[0] ? "0" : "") + (trustsReport[1] ? "1" : "")
+            + std::to_string(restartsLeft);
     }
 
-    static VersionCensus census()
+    static VersionCensus targets()
     {
         return {.ofVersion = {NodeName("new")}, .othersReady = 1, .others = {OldTarget}};
     }
 
     bool mayRunOnOld() const
     {
-        const auto rule = nodes[OldNode].rule(census(), Now);
+        const auto rule = nodes[OldNode].rule(targets(), Now);
         return !rule || rule->mode != VersionRule::Mode::Only;
     }
 };
 
 void check(const State &state)
 {
-    BOOST_REQUIRE(state.verdicts <= 1);
+    BOOST_REQUIRE(state.finalStages <= 1);
     if (state.stored == RolloutStage::Succeeded) {
-        // The old targets are stopped without warning.
+        // The platform stops the old targets without warning.
         BOOST_REQUIRE(!state.oldRuns);
     }
     for (const auto &node : state.nodes) {
-        const auto rule = node.rule(State::census(), Now);
+        const auto rule = node.rule(State::targets(), Now);
         if (node.stage() == RolloutStage::CutOff || node.stage() == RolloutStage::RolledBack) {
             BOOST_REQUIRE((rule && rule->mode == VersionRule::Mode::Excluded));
         }
@@ -94,28 +97,28 @@
     }
 }
 
-void write(State &state, std::size_t judge, bool answerLost)
+void write(State &state, std::size_t evaluator, bool responseLost)
 {
-    auto &entry = state.nodes[judge];
-    const auto wanted = entry.wantedInStore(State::census(), Now);
+    auto &entry = state.nodes[evaluator];
+    const auto wanted = entry.wantedInStore(State::targets(), Now);
     if (!wanted) {
         return;
     }
     if (entry.record(Now).seen.value() != state.version) {
-        // A conflict: the judge reads what is there.
+        // A conflict: the evaluator reads the current state.
         entry.takeStored(ObjectVersion(state.version), state.stored, Now);
         return;
     }
     ++state.version;
-    state.verdicts += isFinal(*wanted) ? 1 : 0;
+    state.finalStages += isFinal(*wanted) ? 1 : 0;
     state.stored = wanted;
-    if (!answerLost) {
+    if (!responseLost) {
         entry.takeStored(ObjectVersion(state.version), wanted, Now);
     }
 }
 
-// A report came, or the belief in it ran out.
-void report(State &state, std::size_t judge, bool retired)
+// A report arrived, or its validity ended.
+void report(State &state, std::size_t evaluator, bool retired)
 {
     const TargetCounts counts{.node = OldTarget,
         .process = 1,
@@ -125,42 +128,42 @@
         .report = 1,
         .retired = retired,
         .routes = {}};
-    state.nodes[judge].merge(counts, Now);
-    state.believes[judge] = retired;
+    state.nodes[evaluator].merge(counts, Now);
+    state.trustsReport[evaluator] = retired;
 }
 
-// Every state that one event leads to.
-std::vector<State> after(const State &state)
+// All states that one event leads to.
+std::vector<State> successors(const State &state)
 {
     std::vector<State> next;
     const auto add = [&](auto change) {
         next.push_back(state);
         change(next.back());
     };
-    for (std::size_t judge = 0; judge < Judges; ++judge) {
-        add([&](State &s) { s.nodes[judge].cutOff("worse", Now - std::chrono::milliseconds(500)); });
+    for (std::size_t evaluator = 0; evaluator < Evaluators; ++evaluator) {
+        add([&](State &s) { s.nodes[evaluator].cutOff("worse", Now - std::chrono::milliseconds(500)); });
         add([&](State &s) {
-            auto promoted = s.nodes[judge].record(Now);
+            auto promoted = s.nodes[evaluator].record(Now);
             promoted.stage = RolloutStage::Promoting;
             promoted.promotedAtMs = 1000;
-            s.nodes[judge].merge(promoted, Now);
+            s.nodes[evaluator].merge(promoted, Now);
         });
-        add([&](State &s) { write(s, judge, false); });
-        add([&](State &s) { write(s, judge, true); });
-        add([&](State &s) { s.nodes[judge].takeStored(ObjectVersion(s.version), s.stored, Now); });
-        if (state.oldRetired && !state.believes[judge]) {
-            add([&](State &s) { report(s, judge, true); });
+        add([&](State &s) { write(s, evaluator, false); });
+        add([&](State &s) { write(s, evaluator, true); });
+        add([&](State &s) { s.nodes[evaluator].takeStored(ObjectVersion(s.version), s.stored, Now); });
+        if (state.oldRetired && !state.trustsReport[evaluator]) {
+            add([&](State &s) { report(s, evaluator, true); });
         }
-        if (state.believes[judge]) {
-            add([&](State &s) { report(s, judge, false); });
+        if (state.trustsReport[evaluator]) {
+            add([&](State &s) { report(s, evaluator, false); });
         }
-        if (state.restartsLeft > 0 && judge == 0) {
+        if (state.restartsLeft > 0 && evaluator == 0) {
             add([&](State &s) {
                 --s.restartsLeft;
-                s.nodes[judge] = newEntry();
-                s.believes[judge] = false;
-                s.nodes[judge].awaitEvidence();
-                s.nodes[judge].takeStored(ObjectVersion(s.version), s.stored, Now);
+                s.nodes[evaluator] = newEntry();
+                s.trustsReport[evaluator] = false;
+                s.nodes[evaluator].awaitEvidence();
+                s.nodes[evaluator].takeStored(ObjectVersion(s.version), s.stored, Now);
             });
         }
     }
@@ -171,15 +174,15 @@
             }
         }
     }
-    // The old target ends its call, and takes one only where its node lets it.
+    // The old target finishes its call, and accepts one only if the rule of its node allows it.
     add([](State &s) { s.oldRuns = false; });
-    const bool promised = state.oldRetired || state.believes[0] || state.believes[1];
+    const bool hasLease = state.oldRetired || state.trustsReport[0] || state.trustsReport[1];
     const bool stopped = state.stored == RolloutStage::Succeeded;
-    if (state.mayRunOnOld() && !promised && !stopped) {
+    if (state.mayRunOnOld() && !hasLease && !stopped) {
         add([](State &s) { s.oldRuns = true; });
     }
     if (state.oldRetired) {
-        // Its last report of it has run out.
+        // The lease of its last report has ended.
         add([](State &s) { s.oldRetired = false; });
     }
     if (!state.mayRunOnOld() && !state.oldRuns) {
@@ -190,7 +193,7 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(NoRunHasTwoVerdictsOrStopsAnOldTargetInUse)
+BOOST_AUTO_TEST_CASE(NoRunHasTwoFinalStagesOrStopsAnOldTargetInUse)
 {
     std::set<std::string> seen;
     std::vector<State> open{State()};
@@ -202,7 +205,7 @@
         check(state);
         succeeded = succeeded || state.stored == RolloutStage::Succeeded;
         rolledBack = rolledBack || state.stored == RolloutStage::RolledBack;
-        for (auto &next : after(state)) {
+        for (auto &next : successors(state)) {
             if (seen.insert(next.key()).second) {
                 open.push_back(std::move(next));
             }
--- a/autotests/unit/rolloutrecordtest.cpp
+++ b/autotests/unit/rolloutrecordtest.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-RolloutOrder order(std::uint64_t created)
+RolloutOrder spec(std::uint64_t created)
 {
     return {ServiceName("tablero"), TargetVersion("v2"), Milliseconds(16000), ObjectVersion(created)};
 }
 
 RolloutRecord record(RolloutStage stage, std::uint32_t ageMs, std::uint64_t created = 10)
 {
-    return {.order = order(created), .seen = ObjectVersion(created), .stage = stage, .ageMs = ageMs, .promotedAtMs = 0, .reason = {}};
+    return {.order = spec(created), .seen = ObjectVersion(created), .stage = stage, .ageMs = ageMs, .promotedAtMs = 0, .reason = {}};
 }
 
 MemberRecord member(int number, const std::string &version)
@@ -48,7 +48,7 @@
 
     void read(std::optional<RolloutStage> stage, std::uint64_t version = 10, std::uint64_t created = 10)
     {
-        control.orderRead({order(created), ObjectVersion(version), stage}, false, now);
+        control.orderRead({spec(created), ObjectVersion(version), stage}, false, now);
     }
 
     std::optional<VersionRule> rule()
@@ -60,48 +60,48 @@
 
 }
 
-// Guards against reports that come late, twice or in another order.
-BOOST_AUTO_TEST_CASE(MergesGiveTheSameInAnyOrder)
+// Guards against reports that arrive late, twice or in another order.
+BOOST_AUTO_TEST_CASE(MergesGiveTheSameResultInAnyOrder)
 {
-    std::vector<RolloutRecord> heard
+    std::vector<RolloutRecord> reported
         = {record(RolloutStage::Running, 500), record(RolloutStage::Promoting, 9000), record(RolloutStage::CutOff, 700), record(RolloutStage::CutOff, 700)};
-    heard[1].promotedAtMs = 8000;
-    std::sort(heard.begin(), heard.end(), [](const auto &left, const auto &right) { return left.stage < right.stage; });
+    reported[1].promotedAtMs = 8000;
+    std::sort(reported.begin(), reported.end(), [](const auto &left, const auto &right) { return left.stage < right.stage; });
     do {
-        auto held = record(RolloutStage::Running, 0);
-        for (const auto &each : heard) {
-            mergeRollout(held, each);
+        auto local = record(RolloutStage::Running, 0);
+        for (const auto &each : reported) {
+            mergeRollout(local, each);
         }
-        BOOST_TEST((held.stage == RolloutStage::CutOff));
-        BOOST_TEST(held.ageMs == 9000U);
-    } while (std::next_permutation(heard.begin(), heard.end(), [](const auto &left, const auto &right) { return left.ageMs < right.ageMs; }));
+        BOOST_TEST((local.stage == RolloutStage::CutOff));
+        BOOST_TEST(local.ageMs == 9000U);
+    } while (std::next_permutation(reported.begin(), reported.end(), [](const auto &left, const auto &right) { return left.ageMs < right.ageMs; }));
 }
 
-BOOST_AUTO_TEST_CASE(ALaterOrderReplacesAnEarlierOneAndNotTheOtherWay)
+BOOST_AUTO_TEST_CASE(LaterSpecReplacesAnEarlierOneOnly)
 {
-    auto held = record(RolloutStage::RolledBack, 9000, 10);
-    BOOST_TEST((mergeRollout(held, record(RolloutStage::Running, 0, 20)) == RolloutMerge::Order));
-    BOOST_TEST((held.stage == RolloutStage::Running));
-    BOOST_TEST((mergeRollout(held, record(RolloutStage::RolledBack, 9000, 10)) == RolloutMerge::Nothing));
-    BOOST_TEST((held.stage == RolloutStage::Running));
+    auto local = record(RolloutStage::RolledBack, 9000, 10);
+    BOOST_TEST((mergeRollout(local, record(RolloutStage::Running, 0, 20)) == RolloutMerge::Order));
+    BOOST_TEST((local.stage == RolloutStage::Running));
+    BOOST_TEST((mergeRollout(local, record(RolloutStage::RolledBack, 9000, 10)) == RolloutMerge::Nothing));
+    BOOST_TEST((local.stage == RolloutStage::Running));
 }
 
-BOOST_AUTO_TEST_CASE(AVerdictInTheStoreNeverTurns)
+BOOST_AUTO_TEST_CASE(FinalStageInTheStoreIsNeverReverted)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
     fixture.read(RolloutStage::RolledBack, 12);
     fixture.read(RolloutStage::Running, 11);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
-    // The same order again, after its end.
+    // The same spec again, after its end.
     fixture.read(RolloutStage::RolledBack, 14);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
-    // A new one for the same version.
+    // A new spec for the same version.
     fixture.read(std::nullopt, 20, 20);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
 }
 
-BOOST_AUTO_TEST_CASE(AnOrderRemovedMidwayLeavesTheVersionWithoutCalls)
+BOOST_AUTO_TEST_CASE(RolloutRemovedMidwayLeavesTheVersionWithoutCalls)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
@@ -110,7 +110,7 @@
     BOOST_TEST(fixture.control.dueWrites(fixture.now + std::chrono::seconds(5)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(AnOrderMissingInAListWasRemoved)
+BOOST_AUTO_TEST_CASE(SpecMissingFromAListWasRemoved)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
@@ -120,7 +120,7 @@
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
 }
 
-BOOST_AUTO_TEST_CASE(AnOrderForTheVersionInForceSucceedsAtOnce)
+BOOST_AUTO_TEST_CASE(RolloutToTheVersionInForceSucceedsAtOnce)
 {
     Fixture fixture;
     fixture.control.setMembers({member(1, "v2"), member(2, "v2")}, fixture.now);
@@ -133,8 +133,8 @@
     BOOST_TEST((writes.front().stage == RolloutStage::Succeeded));
 }
 
-// The order can't be carried out; the version's shares come to an end all the same.
-BOOST_AUTO_TEST_CASE(AVersionThatNoTargetHasIsRolledBackInTime)
+// The rollout can't be carried out, and must still end in time.
+BOOST_AUTO_TEST_CASE(VersionWithoutTargetsIsRolledBackInTime)
 {
     Fixture fixture;
     fixture.control.setMembers({member(1, "v1"), member(2, "v1")}, fixture.now);
@@ -154,8 +154,9 @@
     BOOST_TEST(writes.back().reason.find("no target of the version") != std::string::npos);
 }
 
-// Guards against counts and records of strangers, of other services and out of range.
-BOOST_AUTO_TEST_CASE(DropsReportsOfNoMemberAndAbsurdValues)
+// Guards against counts and records of unknown nodes, of other services and with values out of
+// range.
+BOOST_AUTO_TEST_CASE(DropsReportsOfUnknownNodesAndInvalidValues)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
@@ -180,12 +181,12 @@
     BOOST_TEST(fixture.control.dropped() == 4U);
 }
 
-// An order that had begun before this node heard of it: its version waits for what
-// other nodes know, and begins anew if all were restarted.
-BOOST_AUTO_TEST_CASE(AnOrderFoundBegunWaitsForTheOthers)
+// A rollout that had started before this node learnt of it: the version gets no calls until other
+// nodes report their records, and the rollout restarts if all of them were restarted.
+BOOST_AUTO_TEST_CASE(RolloutAlreadyStartedWaitsForPeerRecords)
 {
     Fixture fixture;
-    fixture.control.orderRead({order(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
+    fixture.control.orderRead({spec(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
     fixture.control.tick(fixture.now);
     BOOST_TEST(fixture.sent == 0);
@@ -194,9 +195,9 @@
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
 }
 
-// Guards against a service without targets: the new version's end while it takes all
-// calls.
-BOOST_AUTO_TEST_CASE(APromotedVersionWhoseTargetsAreLostIsCutOff)
+// Guards against a service without targets: the targets of the new version are lost while it gets
+// all calls.
+BOOST_AUTO_TEST_CASE(PromotedVersionWhoseTargetsAreLostIsCutOff)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
--- a/autotests/unit/storebudgettest.cpp
+++ b/autotests/unit/storebudgettest.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint Start = TimePoint() + std::chrono::hours(1);
 
-// Calls that one node makes within the time if it asks without a pause.
+// Number of calls that one node makes within the time if it calls without a pause.
 std::size_t callsWithin(Milliseconds time, StoreBudget &budget)
 {
     std::size_t calls = 0;
@@ -25,24 +25,24 @@
 
 }
 
-// A watch that returns at once puts a node into a loop of store calls. Without
-// a bound on the node, a few of them use up what the store gives the fleet.
-BOOST_AUTO_TEST_CASE(LoopIsHeldToTheRate)
+// A watch that returns immediately puts a node into a loop of store calls. Without a limit per
+// node, a few such nodes would use up the store's capacity for the whole fleet.
+BOOST_AUTO_TEST_CASE(LoopIsLimitedToTheRate)
 {
     StoreBudget budget({.callsPerSecond = 2, .burst = 12});
     BOOST_TEST(callsWithin(Milliseconds(60000), budget) <= 12U + 120U);
 }
 
-// All nodes return at once and each makes its first calls at once: the burst
-// times the fleet is what the store must take, spread by the jitter at start.
-BOOST_AUTO_TEST_CASE(BurstIsBounded)
+// All nodes restart at once and make their first calls immediately: the store must handle the burst
+// times the number of nodes, spread by the jitter at start.
+BOOST_AUTO_TEST_CASE(BurstIsLimited)
 {
     StoreBudget budget({.callsPerSecond = 2, .burst = 12});
     BOOST_TEST(callsWithin(Milliseconds(1), budget) == 12U);
 }
 
-// The store is down for minutes and every node waits. In step they would
-// return together, at the same moments.
+// The store is unavailable for minutes and every node waits. Without jitter they would all retry at
+// the same moments.
 BOOST_AUTO_TEST_CASE(BackoffGrowsWithJitterAndResets)
 {
     std::set<std::int64_t> pauses;
--- a/autotests/unit/versiontesttest.cpp
+++ b/autotests/unit/versiontesttest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Ten targets a version that take a call each in turn; times vary as work does.
+// Ten targets per version that get calls in turn, with log-normally distributed latencies.
 class Sample
 {
 public:
@@ -20,13 +20,13 @@
     {
     }
 
-    // Half a second of calls, then a look.
-    void play(int oldCalls, int newCalls, double oldFailing, double newFailing, double slowdown)
+    // Adds half a second of calls, then evaluates them.
+    void addRound(int oldCalls, int newCalls, double oldFailureRate, double newFailureRate, double slowdown)
     {
-        add("v1", oldCalls, oldFailing, 1);
-        add("v2", newCalls, newFailing, slowdown);
+        add("v1", oldCalls, oldFailureRate, 1);
+        add("v2", newCalls, newFailureRate, slowdown);
         m_now += Milliseconds(500);
-        m_test.observe(m_evidence, m_now);
+        m_test.observe(m_countTable, m_now);
     }
 
     const VersionTest &test() const
@@ -35,10 +35,10 @@
     }
 
 private:
-    void add(const std::string &version, int calls, double failing, double slowdown)
+    void add(const std::string &version, int calls, double failureRate, double slowdown)
     {
         for (int i = 0; i < calls; ++i) {
-            const auto target = m_turn++ % 10;
+            const auto target = m_nextTarget++ % 10;
             auto &counts = m_counts[version][target];
             counts.node = NodeName(version + "-" + std::to_string(target));
             counts.version = TargetVersion(version);
@@ -46,30 +46,30 @@
             auto &route = counts.routes.front();
             route.route = RouteName("r");
             const Milliseconds time(static_cast<std::int64_t>(200 * slowdown * std::lognormal_distribution<double>(-0.11, 0.47)(m_random)));
-            const bool fails = std::bernoulli_distribution(failing)(m_random);
+            const bool fails = std::bernoulli_distribution(failureRate)(m_random);
             route.add(fails ? TargetEnd::Failed : time > Milliseconds(1200) ? TargetEnd::GivenUp : TargetEnd::Answered, time, true);
         }
         for (const auto &[target, counts] : m_counts[version]) {
-            m_evidence.merge(counts, m_now);
+            m_countTable.merge(counts, m_now);
         }
     }
 
     std::mt19937_64 m_random;
-    std::size_t m_turn = 0;
+    std::size_t m_nextTarget = 0;
     std::map<std::string, std::map<std::size_t, TargetCounts>> m_counts;
-    EvidenceTable m_evidence;
+    EvidenceTable m_countTable;
     VersionTest m_test{{.version = TargetVersion("v2")}};
     TimePoint m_now{std::chrono::hours(1)};
 };
 
-// Looks until the test convicts; none if it doesn't within a minute.
-std::optional<int> looksToConvict(std::uint64_t seed, int newCalls, double oldFailing, double newFailing, double slowdown)
+// Evaluates until the test rejects the new version; none if it doesn't within a minute.
+std::optional<int> evaluationsToReject(std::uint64_t seed, int newCalls, double oldFailureRate, double newFailureRate, double slowdown)
 {
     Sample sample(seed);
-    for (int look = 1; look <= 120; ++look) {
-        sample.play(200, newCalls, oldFailing, newFailing, slowdown);
+    for (int evaluation = 1; evaluation <= 120; ++evaluation) {
+        sample.addRound(200, newCalls, oldFailureRate, newFailureRate, slowdown);
         if (sample.test().convicts()) {
-            return look;
+            return evaluation;
         }
     }
     return std::nullopt;
@@ -77,49 +77,49 @@
 
 }
 
-// Error of the first kind: a minute at 16 and at 160 calls a second to an equal
-// version, with few failures and with many.
-BOOST_AUTO_TEST_CASE(RarelyConvictsAnEqualVersion)
+// Type I error: an equal version gets calls for a minute, at 16 and at 160 calls a second, with few
+// failures and with many.
+BOOST_AUTO_TEST_CASE(RarelyRejectsAnEqualVersion)
 {
-    int convicted = 0;
+    int rejections = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        for (const auto failing : {0.001, 0.3}) {
+        for (const auto failureRate : {0.001, 0.3}) {
             for (const int calls : {8, 80}) {
-                convicted += looksToConvict(seed, calls, failing, failing, 1) ? 1 : 0;
+                rejections += evaluationsToReject(seed, calls, failureRate, failureRate, 1) ? 1 : 0;
             }
         }
     }
-    // Of 400 minutes.
-    BOOST_TEST(convicted <= 2);
+    // Out of 400 minutes.
+    BOOST_TEST(rejections <= 2);
 }
 
-// Error of the second kind, and the delay.
-BOOST_AUTO_TEST_CASE(ConvictsAWorseVersionWithinSeconds)
+// Type II error, and the detection delay.
+BOOST_AUTO_TEST_CASE(RejectsAWorseVersionWithinSeconds)
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        BOOST_TEST(looksToConvict(seed, 8, 0.001, 0.5, 1).value_or(999) <= 10);
-        BOOST_TEST(looksToConvict(seed, 8, 0.3, 0.8, 1).value_or(999) <= 30);
-        BOOST_TEST(looksToConvict(seed, 8, 0.001, 0.001, 8).value_or(999) <= 4);
-        BOOST_TEST(looksToConvict(seed, 8, 0.001, 0.001, 4).value_or(999) <= 6);
-        BOOST_TEST(looksToConvict(seed, 80, 0.001, 0.15, 1).value_or(999) <= 10);
+        BOOST_TEST(evaluationsToReject(seed, 8, 0.001, 0.5, 1).value_or(999) <= 10);
+        BOOST_TEST(evaluationsToReject(seed, 8, 0.3, 0.8, 1).value_or(999) <= 30);
+        BOOST_TEST(evaluationsToReject(seed, 8, 0.001, 0.001, 8).value_or(999) <= 4);
+        BOOST_TEST(evaluationsToReject(seed, 8, 0.001, 0.001, 4).value_or(999) <= 6);
+        BOOST_TEST(evaluationsToReject(seed, 80, 0.001, 0.15, 1).value_or(999) <= 10);
     }
 }
 
-// Guards against a fault that hides behind a long time without one.
-BOOST_AUTO_TEST_CASE(AFaultThatBeginsLateShowsAsFast)
+// Guards against a fault that is masked by a long time without one.
+BOOST_AUTO_TEST_CASE(FaultThatBeginsLateIsDetectedAsFast)
 {
     Sample sample(1);
-    for (int look = 0; look < 100; ++look) {
-        sample.play(200, 8, 0.001, 0.001, 1);
+    for (int evaluation = 0; evaluation < 100; ++evaluation) {
+        sample.addRound(200, 8, 0.001, 0.001, 1);
     }
     BOOST_TEST(!sample.test().convicts());
-    for (int look = 0; look < 10; ++look) {
-        sample.play(200, 8, 0.001, 0.5, 1);
+    for (int evaluation = 0; evaluation < 10; ++evaluation) {
+        sample.addRound(200, 8, 0.001, 0.5, 1);
     }
     BOOST_TEST(sample.test().convicts());
 }
 
-BOOST_AUTO_TEST_CASE(SharesBeforeThePromotionKeepWithinTheExposure)
+BOOST_AUTO_TEST_CASE(SharesBeforeThePromotionStayWithinTheExposure)
 {
     for (const auto seconds : {1, 12, 16, 60, 3600}) {
         for (const auto exposure : {0.01, 0.1, 0.3}) {
@@ -138,7 +138,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(OfAnyCallsTheVersionGetsItsShare)
+BOOST_AUTO_TEST_CASE(VersionGetsItsShareOfAnyNumberOfCalls)
 {
     VersionSplit split(7);
     const ServiceName service("tablero");
--- a/src/common/endpoint.h
+++ b/src/common/endpoint.h
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-// An IP number and a port.
+// An IP address and a port.
 struct Endpoint
 {
     std::string address;
@@ -22,13 +22,13 @@
     return inspector(endpoint.address, endpoint.port);
 }
 
-// Written as address:port.
+// Formats the endpoint as address:port.
 std::string toString(const Endpoint &endpoint);
 
-// Whether the text is an IP number.
+// Whether the text is an IPv4 address.
 bool isAddress(const std::string &text);
 
-// Reads IP:PORT; nothing if it is anything else.
+// Parses IP:PORT; none if the text is anything else.
 std::optional<Endpoint> endpointOf(const std::string &text);
 
 }
--- a/src/common/strongtype.h
+++ b/src/common/strongtype.h
@@ -7,9 +7,8 @@
 
 namespace Galenahill {
 
-// A value with a meaning of its own: two strong types over the same
-// representation don't convert into each other, so a service name can't be
-// passed where a data centre is expected.
+// A value with a type of its own: two strong types over the same representation don't convert into
+// each other, so a service name can't be passed where a data centre is expected.
 template <typename Value, typename Tag>
 class StrongType
 {
@@ -32,7 +31,7 @@
         return stream << strong.m_value;
     }
 
-    // Found by the codec; the value alone goes over the wire.
+    // Used by the codec; only the value goes over the wire.
     template <typename Inspector>
     friend auto inspect(Inspector &inspector, StrongType &strong)
     {
--- a/src/core/config/blobcollector.cpp
+++ b/src/core/config/blobcollector.cpp
@@ -8,8 +8,8 @@
 
 const std::string BlobPrefix = "config/blob/";
 
-// Keys of the contents that a kept revision names.
-std::set<std::string> namedBlobs(const Manifest &manifest)
+// Keys of the blobs that a kept revision references.
+std::set<std::string> referencedBlobs(const Manifest &manifest)
 {
     std::set<std::string> keys;
     for (const auto &[name, hash] : manifest.files) {
@@ -38,36 +38,36 @@
     if (!head) {
         return tl::unexpected(head.error());
     }
-    // A store that was restored from a backup names less than the nodes serve;
-    // what looks unreferenced there may be in force.
+    // A store that was restored from a backup references fewer blobs than the nodes serve, so a
+    // blob that looks unreferenced there may be in force.
     if (m_options.repository.storeIsBehind(head->manifest)) {
         m_candidates.clear();
         return 0;
     }
-    const auto named = namedBlobs(head->manifest);
+    const auto referenced = referencedBlobs(head->manifest);
     std::map<std::string, Candidate> candidates;
     std::size_t calls = 0;
     std::size_t removed = 0;
     for (const auto &key : *keys) {
-        if (named.count(key) > 0 || calls >= m_options.callsPerRound) {
+        if (referenced.count(key) > 0 || calls >= m_options.callsPerRound) {
             continue;
         }
-        const auto noted = m_candidates.find(key);
-        if (noted != m_candidates.end() && noted->second.head == head->version) {
-            candidates.insert(*noted);
+        const auto previous = m_candidates.find(key);
+        if (previous != m_candidates.end() && previous->second.head == head->version) {
+            candidates.insert(*previous);
             continue;
         }
         ++calls;
-        if (noted != m_candidates.end()) {
-            removed += m_options.store.remove(key, noted->second.blob) ? 1 : 0;
+        if (previous != m_candidates.end()) {
+            removed += m_options.store.remove(key, previous->second.blob) ? 1 : 0;
             continue;
         }
         if (const auto blob = m_options.store.read(key)) {
             candidates[key] = {blob->version, {}};
         }
     }
-    // The head is read again after the contents: a note must not be older
-    // than the head version that it is tied to.
+    // The head is read after the blobs, since a candidate must not be older than the head version
+    // recorded with it.
     const auto after = m_options.repository.readHead();
     if (!after) {
         return tl::unexpected(after.error());
--- a/src/core/config/blobcollector.h
+++ b/src/core/config/blobcollector.h
@@ -7,15 +7,14 @@
 
 namespace Galenahill {
 
-// Removes contents from the store that no kept revision names. Runs on the
-// node that holds the role; two at once, or one that wakes from a long pause,
-// do no harm.
+// Removes blobs from the store that no kept revision references. Runs on the node that holds the
+// role; two collectors at once, or one that resumes after a long pause, do no harm.
 //
-// A content is noted in one round and removed in a later one, if the head has
-// changed in between and still doesn't name it. An apply that found the
-// content in the store before it was noted builds on a head that has changed
-// since, so its head write fails; one that comes later writes the content
-// again first, so the removal, which expects the noted version, fails.
+// A blob becomes a candidate in one round and is removed in a later one if the head has changed in
+// between and still doesn't reference it. An apply that found the blob in the store before it
+// became a candidate builds on a head that has changed since, so its head write fails. A later
+// apply writes the blob again first, so the removal fails, since it expects the version recorded
+// with the candidate.
 class BlobCollector
 {
 public:
@@ -23,13 +22,13 @@
     {
         ObjectStore &store;
         ConfigRepository &repository;
-        // Store calls that one round may spend on contents.
+        // Maximum number of store calls on blobs per round.
         std::size_t callsPerRound = 40;
     };
 
     explicit BlobCollector(Options options);
 
-    // Makes one round and gives the number of contents removed.
+    // Runs one round and returns the number of removed blobs.
     Result<std::size_t> run();
 
 private:
--- a/src/core/config/calltype.h
+++ b/src/core/config/calltype.h
@@ -2,15 +2,14 @@
 
 namespace Galenahill {
 
-// What a route's calls are, as far as that decides where and how often they
-// may be sent.
+// Type of a route's calls, which decides where and how often they may be sent.
 enum class CallType {
     // May run more than once.
     Idempotent,
     // Must run at most once.
     NonIdempotent,
-    // Must run at most once, and carries a body that takes a slow link a while,
-    // so that it is offered by its header first.
+    // Must run at most once and has a body that takes a while to send over a slow link; the call is
+    // therefore offered to a target with its header only at first.
     Upload,
 };
 
--- a/src/core/config/configbundle.cpp
+++ b/src/core/config/configbundle.cpp
@@ -11,15 +11,16 @@
 {
     if (files.size() != manifest.files.size()) {
         return failure(ErrorKind::Corrupt,
-            fmt::format("revision {}: {} files came, the manifest names {}; fetch it again", manifest.revision.value(), files.size(), manifest.files.size()));
+            fmt::format(
+                "revision {}: received {} files, but the manifest lists {}; fetch it again", manifest.revision.value(), files.size(), manifest.files.size()));
     }
-    auto named = manifest.files.begin();
+    auto expected = manifest.files.begin();
     for (const auto &file : files) {
-        if (named->first != file.name || named->second != contentHash(file.text)) {
+        if (expected->first != file.name || expected->second != contentHash(file.text)) {
             return failure(
                 ErrorKind::Corrupt, fmt::format("revision {}: {} doesn't match the manifest; fetch it again", manifest.revision.value(), file.name.value()));
         }
-        ++named;
+        ++expected;
     }
     return {};
 }
--- a/src/core/config/configbundle.h
+++ b/src/core/config/configbundle.h
@@ -8,14 +8,14 @@
 
 namespace Galenahill {
 
-// A whole revision as it travels between nodes: the manifest and the texts
-// that it names, in the manifest's order.
+// A complete revision as it is transferred between nodes: the manifest and the files that it lists,
+// in the manifest's order.
 struct ConfigBundle
 {
     Manifest manifest;
     std::vector<ConfigFile> files;
 
-    // Checks that files and manifest agree name by name and hash by hash.
+    // Checks that the files match the manifest in names and hashes.
     Result<void> verify() const;
 
     // The text of a file, or null.
@@ -30,18 +30,17 @@
     return inspector(bundle.manifest, bundle.files);
 }
 
-// A verified bundle with its meaning. Shared, immutable.
+// A verified bundle with its parsed configuration. Shared, immutable.
 struct ConfigRevision
 {
     ConfigBundle bundle;
     std::shared_ptr<const ConfigSnapshot> snapshot;
-    // Hash of the head object's JSON; tells two revisions with one number
-    // apart.
+    // Hash of the head object's JSON; distinguishes two revisions with the same number.
     ContentHash digest;
 
     Revision revision() const;
 
-    // Verifies and validates; a bundle that fails is never served in part.
+    // Verifies and validates the bundle; a bundle that fails is never served in part.
     static Result<std::shared_ptr<const ConfigRevision>> fromBundle(ConfigBundle bundle);
 };
 
--- a/src/core/config/configdefinitions.h
+++ b/src/core/config/configdefinitions.h
@@ -8,8 +8,8 @@
 
 namespace Galenahill {
 
-// What callers may send to an ingress, and how long they may take or stay
-// idle on a connection.
+// Limits on the requests that callers send to an ingress, and on the time that they take or leave a
+// connection idle.
 struct CallerLimits
 {
     std::uint32_t headerBytes = 16 * 1024;
@@ -20,7 +20,7 @@
     friend bool operator==(const CallerLimits &, const CallerLimits &) = default;
 };
 
-// What a whole configuration defines.
+// All definitions of a configuration.
 struct ConfigDefinitions
 {
     std::vector<ServiceDefinition> services;
--- a/src/core/config/configdocument.cpp
+++ b/src/core/config/configdocument.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-// Says which line isn't UTF-8 or is over-long, or gives nothing.
-std::string unfitLine(std::string_view text)
+// Describes the first line that isn't UTF-8 or is too long; empty if there is none.
+std::string lineError(std::string_view text)
 {
     for (int number = 1; !text.empty(); ++number) {
         const auto line = text.substr(0, text.find('\n'));
         if (line.size() > ConfigLimits::MaxLineBytes) {
-            return fmt::format("line {}: has {} bytes, at most {} are taken; shorten it", number, line.size(), ConfigLimits::MaxLineBytes);
+            return fmt::format("line {}: has {} bytes, the limit is {}; shorten it", number, line.size(), ConfigLimits::MaxLineBytes);
         }
         if (!isUtf8(line)) {
             return fmt::format("line {}: not UTF-8; save the file as UTF-8", number);
@@ -31,38 +31,38 @@
     return {};
 }
 
-// Says what makes the text unfit for the INI reader, or gives nothing.
-std::string unfitText(const std::string &text)
+// Describes why the INI reader can't process the text; empty if it can.
+std::string textError(const std::string &text)
 {
     static const std::string byteOrderMark = "\xEF\xBB\xBF";
     if (text.empty() || std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isspace(c) != 0; })) {
-        return "the file is empty; give at least one section, or use 'galenahillctl remove' to withdraw it";
+        return "the file is empty; add at least one section, or remove the file with 'galenahillctl remove'";
     }
     if (text.size() > ConfigLimits::MaxFileBytes) {
-        return fmt::format("the file has {} bytes, at most {} are taken; split it", text.size(), ConfigLimits::MaxFileBytes);
+        return fmt::format("the file has {} bytes, the limit is {}; split it", text.size(), ConfigLimits::MaxFileBytes);
     }
     if (text.compare(0, byteOrderMark.size(), byteOrderMark) == 0) {
         return "line 1: the file begins with a byte order mark; save it as UTF-8 without one";
     }
     const auto line = [&](std::size_t position) { return 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(position), '\n'); };
     if (const auto position = text.find('\r'); position != std::string::npos) {
-        return fmt::format("line {}: carriage return found; save the file with Unix line ends", line(position));
+        return fmt::format("line {}: carriage return found; save the file with Unix line endings", line(position));
     }
     const auto control = std::find_if(text.begin(), text.end(), [](unsigned char c) { return (c < 0x20 && c != '\n' && c != '\t') || c == 0x7f; });
     if (control != text.end()) {
         return fmt::format("line {}: binary byte found; a configuration file is plain text", line(static_cast<std::size_t>(control - text.begin())));
     }
-    return unfitLine(text);
+    return lineError(text);
 }
 
-// The INI reader drops a section without keys silently, and all that stands
-// behind a section's closing bracket. An operator would see the file accepted
-// and the section or setting not in force, so the headers are looked at again.
-std::string faultyHeader(const std::string &text, const std::vector<ConfigSection> &sections)
+// The INI reader silently drops a section without keys and any text after the closing bracket of a
+// section header. The operator would see the file accepted although the section or setting isn't in
+// force, so the headers are checked here.
+std::string headerError(const std::string &text, const std::vector<ConfigSection> &sections)
 {
-    std::set<std::string> filled;
+    std::set<std::string> nonEmpty;
     for (const auto &section : sections) {
-        filled.insert(section.name);
+        nonEmpty.insert(section.name);
     }
     std::istringstream stream(text);
     std::string line;
@@ -74,10 +74,10 @@
         }
         const auto name = boost::trim_copy(line.substr(1, close - 1));
         if (close + 1 != line.size()) {
-            return fmt::format("line {}: text behind [{}]; move it to a line of its own", number, name);
+            return fmt::format("line {}: text after [{}]; move it to a separate line", number, name);
         }
-        if (filled.count(name) == 0) {
-            return fmt::format("line {}: [{}] has no keys; fill it or remove the section", number, name);
+        if (nonEmpty.count(name) == 0) {
+            return fmt::format("line {}: [{}] has no keys; add keys or remove the section", number, name);
         }
     }
     return {};
@@ -94,7 +94,7 @@
 Result<ConfigDocument> ConfigDocument::parse(const ConfigFile &file)
 {
     namespace ptree = boost::property_tree;
-    if (const auto reason = unfitText(file.text); !reason.empty()) {
+    if (const auto reason = textError(file.text); !reason.empty()) {
         return failure(ErrorKind::Invalid, fmt::format("{}: {}", file.name.value(), reason));
     }
     ptree::ptree tree;
@@ -109,7 +109,7 @@
     for (const auto &[name, content] : tree) {
         if (!content.data().empty() || content.empty()) {
             return failure(
-                ErrorKind::Invalid, fmt::format("{}: key \"{}\" stands before any section; move it below a [section] line", file.name.value(), name));
+                ErrorKind::Invalid, fmt::format("{}: key \"{}\" precedes the first section; move it below a [section] line", file.name.value(), name));
         }
         ConfigSection section{name, {}};
         for (const auto &[key, value] : content) {
@@ -119,9 +119,9 @@
     }
     if (document.m_sections.empty() && file.text.find('[') == std::string::npos) {
         return failure(ErrorKind::Invalid,
-            fmt::format("{}: the file has comments only; give at least one section, or use 'galenahillctl remove' to withdraw it", file.name.value()));
+            fmt::format("{}: the file contains only comments; add at least one section, or remove the file with 'galenahillctl remove'", file.name.value()));
     }
-    if (const auto reason = faultyHeader(file.text, document.m_sections); !reason.empty()) {
+    if (const auto reason = headerError(file.text, document.m_sections); !reason.empty()) {
         return failure(ErrorKind::Invalid, fmt::format("{}: {}", file.name.value(), reason));
     }
     return document;
--- a/src/core/config/configdocument.h
+++ b/src/core/config/configdocument.h
@@ -15,17 +15,17 @@
     std::string name;
     std::vector<std::pair<std::string, std::string>> entries;
 
-    // The value of a key, or null if the section lacks it.
+    // The value of a key, or null if the section doesn't have it.
     const std::string *find(const std::string &key) const;
 };
 
-// The sections of one INI text. Knows syntax only; what the sections mean is
-// checked by the validator.
+// The sections of one INI text. Checks the syntax only; the validator checks what the sections
+// mean.
 class ConfigDocument
 {
 public:
-    // Reads the text. Refuses what isn't plain UTF-8 text, what is empty or
-    // over-long, and duplicate sections or keys; the message names the line.
+    // Parses the text. Rejects text that is empty, too long or not plain UTF-8, and duplicate
+    // sections or keys; the error names the line.
     static Result<ConfigDocument> parse(const ConfigFile &file);
 
     const std::vector<ConfigSection> &sections() const;
--- a/src/core/config/configlimits.h
+++ b/src/core/config/configlimits.h
@@ -5,16 +5,17 @@
 #include <cstddef>
 #include <cstdint>
 
-// Bounds that no configuration file lifts. Validation refuses what lies
-// outside; the running code doesn't rely on that and applies them again.
+// Limits that no configuration file can raise. Validation rejects values outside of them; the
+// running code doesn't rely on that and enforces them again.
 namespace Galenahill::ConfigLimits {
 
 inline constexpr std::size_t MaxFileBytes = 900 * 1024;
-// All files together, as every node holds them in memory.
+// All files together; every node holds them in memory.
 inline constexpr std::size_t MaxTotalBytes = 16 * 1024 * 1024;
 inline constexpr std::size_t MaxLineBytes = 4096;
 inline constexpr std::size_t MaxFileNameLength = 100;
-// Faults that one refusal names; more would only scroll the first ones away.
+// Maximum number of errors listed in one rejection; more would scroll the first ones off the
+// screen.
 inline constexpr std::size_t MaxFaults = 50;
 inline constexpr std::uint32_t MaxSlots = 1024;
 inline constexpr std::uint32_t MaxConnections = 65536;
--- a/src/core/config/configrepository.cpp
+++ b/src/core/config/configrepository.cpp
@@ -14,28 +14,28 @@
 
 const std::string HeadKey = "config/head";
 
-// A value limit of the platform's store, with room for its own wrapping.
+// Value size limit of the platform's store, minus room for its own envelope.
 constexpr std::size_t MaxHeadBytes = 1000 * 1000;
 
-// Lost races before an apply gives up. Each lost race means that another
-// operator's apply was accepted, so the system as a whole still advances.
+// Attempts to write the head before an apply fails. Each conflict means that another operator's
+// apply was accepted, so the system as a whole still makes progress.
 constexpr int MaxAttempts = 16;
 
-// Repeats of a head write whose answer was lost. With the store's time limit
-// this must stay below the operator client's.
-constexpr int MaxSettlingWrites = 3;
+// Retries of a head write whose response was lost. Together with the store's timeout this must stay
+// below the timeout of the operator's client.
+constexpr int MaxHeadWriteRetries = 3;
 
 std::string blobKey(const ContentHash &hash)
 {
     return "config/blob/" + hash.value();
 }
 
-// What makes the request unfit to be recorded, or nothing. Ids and names are
-// printed to other operators' terminals and kept in the head.
-std::string requestFault(const ApplyRequest &request)
+// Describes why the request can't be recorded; empty if it can. Ids and names are printed on other
+// operators' terminals and kept in the head.
+std::string requestError(const ApplyRequest &request)
 {
     if (!isPlainLine(request.id.value(), ConfigLimits::MaxFileNameLength)) {
-        return fmt::format("apply id: give 1 to {} printable characters, or none to have one made", ConfigLimits::MaxFileNameLength);
+        return fmt::format("apply id: give 1 to {} printable characters, or none to have one generated", ConfigLimits::MaxFileNameLength);
     }
     if (!isPlainLine(request.operatorName, ConfigLimits::MaxFileNameLength)) {
         return fmt::format("operator: give a name of 1 to {} printable characters with --operator", ConfigLimits::MaxFileNameLength);
@@ -43,8 +43,8 @@
     return {};
 }
 
-// Puts the file in place of the one of its name, in the order of names. The
-// order decides which of two contradicting files a refusal names.
+// Replaces the file of the same name, keeping the files sorted by name. The order decides which of
+// two contradicting files an error names.
 void replaceFile(std::vector<ConfigFile> &files, const ConfigFile &file)
 {
     std::erase_if(files, [&](const auto &present) { return present.name == file.name; });
@@ -58,7 +58,7 @@
         return failure(ErrorKind::Unavailable, "not accepted: " + error.message);
     }
     return failure(ErrorKind::OutcomeUnknown,
-        fmt::format("{}: outcome unknown: this run of apply {} was not accepted, an earlier one may have been: {}; repeat it once more",
+        fmt::format("{}: outcome unknown: this attempt of apply {} was not accepted, an earlier one may have been: {}; retry it once more",
             request.file.value(),
             request.id.value(),
             error.message));
@@ -111,9 +111,9 @@
         }
         auto blob = m_options.store.read(blobKey(hash));
         if (!blob) {
-            // Also seen when the head moved on and the content was collected.
+            // This also happens when the head has changed and the blob was garbage-collected.
             const bool missing = blob.error().kind == ErrorKind::NotFound;
-            return missing ? failure(ErrorKind::Unavailable, fmt::format("the store lacks the content of {}; read the head again", name.value()))
+            return missing ? failure(ErrorKind::Unavailable, fmt::format("the store has no blob for {}; read the head again", name.value()))
                            : tl::unexpected(blob.error());
         }
         bundle.files.push_back({name, std::move(blob->value)});
@@ -134,19 +134,18 @@
     const auto newest = std::max(inForce, base.head.manifest.revision);
     if (m_options.highestKnown() > newest) {
         return failure(ErrorKind::Unavailable,
-            fmt::format("members serve revision {} and this node knows only {}; it fetches that now, apply again in a second",
+            fmt::format("other members serve revision {}, but this node has only {}; it is fetching the newer one, apply again in a second",
                 m_options.highestKnown().value(),
                 newest.value()));
     }
-    // A store restored from an older backup has a head below what nodes serve,
-    // or one that lacks changes in force whatever its number, if applies were
-    // accepted on it meanwhile. Building on it would take accepted changes
-    // back, so the change builds on the revision in force, which the nodes
-    // still hold whole.
+    // A store restored from an older backup has a head with a lower revision than the nodes serve.
+    // If applies were accepted on it meanwhile, its head lacks changes in force whatever its
+    // number. Building on that head would revert accepted changes, so the change builds on the
+    // revision in force, which the nodes still hold completely.
     base.diverged
         = base.current && base.current->bundle.manifest != base.head.manifest && (base.head.manifest.revision <= inForce || storeIsBehind(base.head.manifest));
     if (base.diverged) {
-        return joinedBase(std::move(base));
+        return mergedBase(std::move(base));
     }
     if (!base.current || base.current->bundle.manifest != base.head.manifest) {
         auto bundle = readBundle(base.head.manifest, base.current.get());
@@ -163,7 +162,7 @@
     return base;
 }
 
-Result<ConfigRepository::Base> ConfigRepository::joinedBase(Base base)
+Result<ConfigRepository::Base> ConfigRepository::mergedBase(Base base)
 {
     base.bundle = base.current->bundle;
     base.bundle.manifest.revision = std::max(base.bundle.manifest.revision, base.head.manifest.revision);
@@ -172,14 +171,14 @@
     if (merged.taken.empty()) {
         return base;
     }
-    auto joined = readBundle(merged.manifest, base.current.get());
-    if (!joined) {
-        return tl::unexpected(joined.error());
+    auto mergedBundle = readBundle(merged.manifest, base.current.get());
+    if (!mergedBundle) {
+        return tl::unexpected(mergedBundle.error());
     }
-    // Two histories that are valid each may contradict each other; what is in
-    // force then stays, and the operators are told what isn't.
-    if (ConfigSnapshot::validate(joined->files)) {
-        base.bundle = std::move(*joined);
+    // Two valid histories may contradict each other. In that case the revision in force is kept,
+    // and the operators are told which changes are not in it.
+    if (ConfigSnapshot::validate(mergedBundle->files)) {
+        base.bundle = std::move(*mergedBundle);
     } else {
         base.leftOut.insert(base.leftOut.end(), merged.taken.begin(), merged.taken.end());
     }
@@ -191,8 +190,7 @@
     ConfigBundle bundle = base.bundle;
     auto &manifest = bundle.manifest;
     manifest.revision = Revision(manifest.revision.value() + 1);
-    // A repeat of a change that only the outdated store had: the joined
-    // histories hold it already.
+    // A retry of a change that only the outdated store had; the merged history already contains it.
     if (manifest.change(request.id)) {
         return bundle;
     }
@@ -208,7 +206,7 @@
     manifest.record({request.id, manifest.revision, request.file, request.operatorName, m_options.now(), request.remove, previous});
     if (manifest.toJson().size() > MaxHeadBytes) {
         return failure(
-            ErrorKind::Invalid, fmt::format("{}: too many files ({}) for one head object; join small files", request.file.value(), bundle.files.size()));
+            ErrorKind::Invalid, fmt::format("{}: too many files ({}) for one head object; merge small files", request.file.value(), bundle.files.size()));
     }
     return bundle;
 }
@@ -226,18 +224,16 @@
         if (last.kind != ErrorKind::Conflict && last.kind != ErrorKind::OutcomeUnknown) {
             break;
         }
-        // An existing blob is written again, though its content can't differ:
-        // the collector may have found it unreferenced before this apply
-        // names it. The new version makes the collector's removal fail, which
-        // expects the version that it found.
+        // An existing blob is written again although its content can't differ, because the
+        // collector may have found it unreferenced before this apply references it. The new version
+        // makes the collector's removal fail, which expects the version that it found.
         const auto present = m_options.store.read(key);
         if (!present && present.error().kind != ErrorKind::NotFound) {
             last = present.error();
             break;
         }
-        // A version above one that this apply read was written since, by this
-        // apply or another; the first write proves nothing, for the blob may
-        // have been there before.
+        // A version newer than one that this apply has read was written since, by this apply or
+        // another. The first write proves nothing, because the blob may have existed before.
         const bool writtenSince = present && expected != ObjectVersion() && present->version != expected;
         if (writtenSince && last.kind == ErrorKind::OutcomeUnknown) {
             return {};
@@ -262,20 +258,19 @@
     return {};
 }
 
-std::optional<Result<ApplyOutcome>> ConfigRepository::withoutWriting(const Base &base, const ApplyRequest &request)
+std::optional<Result<ApplyOutcome>> ConfigRepository::resolveWithoutWrite(const Base &base, const ApplyRequest &request)
 {
     const auto &manifest = base.bundle.manifest;
-    // A client that repeats an apply after a lost answer gets the first run's
-    // outcome.
+    // A client that retries an apply after a lost response gets the outcome of the first attempt.
     if (const auto done = base.current->bundle.manifest.change(request.id)) {
         return ApplyOutcome{done->revision, true, base.current, {}};
     }
-    // A repeat that comes after many other changes isn't found among the ones
-    // kept. Run again, it would undo what others did to the file since.
+    // A retry after many other changes may no longer find its id among the changes kept. Applied
+    // again, it would revert what others have changed in the file since.
     if (request.begunAt && manifest.forgets(*request.begunAt)) {
         return failure(ErrorKind::OutcomeUnknown,
-            fmt::format("{}: apply {} was begun at revision {}, and the changes kept begin with revision {}: it can't be told any more whether it took effect, "
-                        "and it wasn't run now; compare 'galenahillctl diff FILE' and apply without --apply-id",
+            fmt::format("{}: apply {} was started at revision {}, but the change history only goes back to revision {}: it is unknown whether it took effect, "
+                        "and it was not applied now; compare with 'galenahillctl diff FILE' and apply without --apply-id",
                 request.file.value(),
                 request.id.value(),
                 request.begunAt->value(),
@@ -308,11 +303,11 @@
     if (!base) {
         return tl::unexpected(base.error());
     }
-    if (auto settled = withoutWriting(*base, request)) {
-        return std::move(*settled);
+    if (auto resolved = resolveWithoutWrite(*base, request)) {
+        return std::move(*resolved);
     }
-    // From here on the request means the content that was read: a lost race
-    // over the same file becomes a conflict, one over another file doesn't.
+    // From here on, the request is based on the content that was just read: a lost race over the
+    // same file becomes a conflict, one over another file doesn't.
     const auto found = base->bundle.manifest.files.find(request.file);
     request.basedOn = found == base->bundle.manifest.files.end() ? ContentHash("none") : found->second;
     if (!request.begunAt) {
@@ -325,9 +320,9 @@
     auto revision = ConfigRevision::fromBundle(std::move(*bundle));
     if (!revision) {
         const auto &error = revision.error();
-        const bool stillNamed = request.remove && error.kind == ErrorKind::Invalid;
-        return stillNamed ? failure(error.kind, fmt::format("{}: not removed, other files need it:\n{}", request.file.value(), error.message))
-                          : tl::unexpected(error);
+        const bool stillReferenced = request.remove && error.kind == ErrorKind::Invalid;
+        return stillReferenced ? failure(error.kind, fmt::format("{}: not removed, other files need it:\n{}", request.file.value(), error.message))
+                               : tl::unexpected(error);
     }
     if (const auto written = writeBlobs(*base, (*revision)->bundle); !written) {
         return tl::unexpected(written.error());
@@ -352,8 +347,8 @@
 
 Result<ApplyOutcome> ConfigRepository::apply(const ApplyRequest &request)
 {
-    if (const auto fault = requestFault(request); !fault.empty()) {
-        return failure(ErrorKind::Invalid, fault);
+    if (const auto error = requestError(request); !error.empty()) {
+        return failure(ErrorKind::Invalid, error);
     }
     auto current = request;
     for (int i = 0; i < MaxAttempts; ++i) {
@@ -366,10 +361,10 @@
             return std::move(**outcome);
         }
     }
-    return notAccepted(request, {ErrorKind::Unavailable, "other operators' applies kept coming first; apply again"});
+    return notAccepted(request, {ErrorKind::Unavailable, "other operators' changes were accepted first each time; apply again"});
 }
 
-bool ConfigRepository::isMerelyOlder(const Manifest &stored, const Manifest &inForce) const
+bool ConfigRepository::isStrictlyOlder(const Manifest &stored, const Manifest &inForce) const
 {
     if (stored.revision >= inForce.revision) {
         return false;
@@ -378,9 +373,8 @@
     return merged.taken.empty() && merged.leftOut.empty();
 }
 
-// Until the store has it again, the revision in force lives in the nodes'
-// memory alone: were they all to restart now, they would serve what the store
-// has, and accepted changes would be gone.
+// Until it is written back, the revision in force exists only in the nodes' memory: if all of them
+// restarted now, they would serve what the store has, and accepted changes would be lost.
 Result<bool> ConfigRepository::writeBack()
 {
     auto head = readHead();
@@ -391,7 +385,7 @@
     base.head = std::move(*head);
     base.current = m_options.inForce();
     base.diverged = true;
-    if (!base.current || !isMerelyOlder(base.head.manifest, base.current->bundle.manifest)) {
+    if (!base.current || !isStrictlyOlder(base.head.manifest, base.current->bundle.manifest)) {
         return false;
     }
     const auto &bundle = base.current->bundle;
@@ -405,7 +399,7 @@
     return true;
 }
 
-// Whether the head was written; false if another writer was first.
+// Returns whether the head was written; false if another writer was first.
 Result<bool> ConfigRepository::writeHead(const Base &base, const ConfigBundle &bundle, const ApplyRequest &request)
 {
     const auto text = bundle.manifest.toJson();
@@ -417,20 +411,19 @@
     case ErrorKind::Conflict:
         return false;
     case ErrorKind::OutcomeUnknown:
-        return settle(base, text, request, written.error());
+        return resolveHeadWrite(base, text, request, written.error());
     default:
         return failure(ErrorKind::Unavailable, written.error().message);
     }
 }
 
-// The answer to the head's write was lost, and the write may still be on its
-// way: a head without the change proves nothing while its version is the
-// expected one. So the very same write is sent again, on the same version. At
-// most one of the two takes effect, and once the version has moved on neither
-// can any more.
-Result<bool> ConfigRepository::settle(const Base &base, const std::string &head, const ApplyRequest &request, Error error)
+// The response to the head write was lost, and the write may still be in flight: a head without the
+// change proves nothing while its version is the expected one. Therefore the same write is sent
+// again with the same expected version. At most one of the two takes effect, and neither can once
+// the version has changed.
+Result<bool> ConfigRepository::resolveHeadWrite(const Base &base, const std::string &head, const ApplyRequest &request, Error error)
 {
-    for (int i = 0; i < MaxSettlingWrites; ++i) {
+    for (int i = 0; i < MaxHeadWriteRetries; ++i) {
         const auto present = readHead();
         if (!present) {
             error = present.error();
@@ -449,7 +442,7 @@
         error = written.error();
     }
     return failure(ErrorKind::OutcomeUnknown,
-        fmt::format("{}: outcome unknown: {}; repeat the apply with --apply-id={}, which takes effect at most once, or ask 'galenahillctl outcome {}'",
+        fmt::format("{}: outcome unknown: {}; retry the apply with --apply-id={}, which takes effect at most once, or check with 'galenahillctl outcome {}'",
             request.file.value(),
             error.message,
             request.id.value(),
@@ -466,7 +459,8 @@
         return *change;
     }
     return failure(ErrorKind::NotFound,
-        fmt::format("apply {} is not among the last {} accepted changes; if its answer was lost, repeat it with --apply-id={}, which settles it",
+        fmt::format(
+            "apply {} is not among the last {} accepted changes; if its response was lost, retry it with --apply-id={}, which takes effect at most once",
             id.value(),
             Manifest::MaxChanges,
             id.value()));
--- a/src/core/config/configrepository.h
+++ b/src/core/config/configrepository.h
@@ -11,7 +11,7 @@
 
 namespace Galenahill {
 
-// An operator's wish to change one file.
+// An operator's request to change one file.
 struct ApplyRequest
 {
     ApplyId id;
@@ -20,31 +20,31 @@
     std::string text;
     bool remove = false;
     std::string operatorName;
-    // Hash of the content that the operator started from. Empty: whatever is
-    // in force when the request arrives.
+    // Hash of the content that the operator's change is based on. Empty: the change is based on
+    // what is in force when the request arrives.
     ContentHash basedOn;
-    // The revision in force when the id was made. A repeat is refused once
-    // the changes since then are no longer all kept, for the first run may be
-    // among the forgotten ones. Unset for a request that is never repeated.
+    // The revision in force when the id was generated. A retry is rejected once the changes since
+    // then are no longer all kept, because the first attempt may be among the forgotten ones. Unset
+    // for a request that is never retried.
     std::optional<Revision> begunAt;
-    // Whether the id was used before. The first run's write may still be on
-    // its way, so a repeat that achieves nothing proves nothing about it.
+    // Whether the id was used before. The first attempt's write may still be in flight, so a retry
+    // that fails proves nothing about it.
     bool repeated = false;
 };
 
-// What an accepted apply gives back.
+// Result of an accepted apply.
 struct ApplyOutcome
 {
     Revision revision;
-    // False if the file already had this content and no revision was made.
+    // False if the file already had this content and no revision was created.
     bool changed = true;
     std::shared_ptr<const ConfigRevision> accepted;
-    // Changes that only an outdated store held and that are not in force.
+    // Changes that only an outdated store had and that are not in force.
     std::vector<AppliedChange> leftOut;
 };
 
-// The configuration as kept in the platform's store: reading whole revisions
-// and accepting changes. Holds no state between calls.
+// The configuration in the platform's store: reads whole revisions and accepts changes. Holds no
+// state between calls.
 class ConfigRepository
 {
 public:
@@ -74,25 +74,24 @@
     // from a backup.
     bool storeIsBehind(const Manifest &stored) const;
 
-    // Reads the texts that the manifest names, taking what `known` already
-    // has from there.
+    // Reads the files that the manifest lists, taking those that `known` already has from there.
     Result<ConfigBundle> readBundle(const Manifest &manifest, const ConfigRevision *known);
 
-    // What the files in force would mean with this one in its place; refused
-    // in the very words of `apply`. Changes nothing and asks nobody.
+    // The configuration that the files in force would give with this file in its place; errors have
+    // the same text as those of `apply`. Changes nothing and contacts no other node.
     Result<std::shared_ptr<const ConfigSnapshot>> check(const ConfigFile &file) const;
 
     // Accepts the change with one conditional update of the head object.
     //
-    // Errors: Invalid with the faults, Conflict if the same file was changed
-    // by someone else meanwhile, Unavailable if nothing was accepted,
-    // OutcomeUnknown if the store's answer was lost and the head could not be
-    // settled; a repeat with the same id settles it.
+    // Errors: Invalid with the list of errors; Conflict if someone else has changed the same file
+    // meanwhile; Unavailable if nothing was accepted; OutcomeUnknown if the store's response was
+    // lost and the state of the head could not be determined. A retry with the same id then
+    // determines the outcome.
     Result<ApplyOutcome> apply(const ApplyRequest &request);
 
-    // Writes the revision in force back to a store whose head is merely older,
-    // such as after a restore, and gives whether it did. A head that has
-    // changes of its own is left to the next apply, which joins both.
+    // Writes the revision in force back to a store whose head is strictly older, such as after a
+    // restore, and returns whether it did. A head with changes of its own is left to the next
+    // apply, which merges both histories.
     Result<bool> writeBack();
 
     // The accepted change of that id; NotFound if it isn't among the last
@@ -103,27 +102,27 @@
     Result<ConfigBundle> earlier(Revision revision);
 
 private:
-    // What a change builds on.
+    // State that a change is based on.
     struct Base
     {
         Head head;
-        // What is in force, joined with what only the store has.
+        // The revision in force, merged with changes that only the store has.
         ConfigBundle bundle;
         std::shared_ptr<const ConfigRevision> current;
-        // Whether the store's line of history differs from the one in force.
+        // Whether the store's history differs from the one in force.
         bool diverged = false;
         std::vector<AppliedChange> leftOut;
     };
     Result<Base> readBase();
-    Result<Base> joinedBase(Base base);
+    Result<Base> mergedBase(Base base);
     Result<std::optional<ApplyOutcome>> attempt(ApplyRequest &request);
-    std::optional<Result<ApplyOutcome>> withoutWriting(const Base &base, const ApplyRequest &request);
+    std::optional<Result<ApplyOutcome>> resolveWithoutWrite(const Base &base, const ApplyRequest &request);
     Result<ConfigBundle> changedBundle(const Base &base, const ApplyRequest &request);
     Result<void> writeBlobs(const Base &base, const ConfigBundle &bundle);
     Result<void> writeBlob(const std::string &key, const std::string &text);
-    bool isMerelyOlder(const Manifest &stored, const Manifest &inForce) const;
+    bool isStrictlyOlder(const Manifest &stored, const Manifest &inForce) const;
     Result<bool> writeHead(const Base &base, const ConfigBundle &bundle, const ApplyRequest &request);
-    Result<bool> settle(const Base &base, const std::string &head, const ApplyRequest &request, Error error);
+    Result<bool> resolveHeadWrite(const Base &base, const std::string &head, const ApplyRequest &request, Error error);
 
     Options m_options;
 };
--- a/src/core/config/configsnapshot.cpp
+++ b/src/core/config/configsnapshot.cpp
@@ -13,16 +13,16 @@
 {
 public:
     std::vector<ServiceDefinition> services;
-    // In the order of their paths, those of a host before those of any host. An
-    // index beside it took a third of a large configuration's memory.
+    // Sorted by path, those for one host before those for any host. A separate index took a third
+    // of a large configuration's memory.
     std::vector<RouteDefinition> routes;
     CallerLimits callerLimits;
     std::unordered_map<ServiceName, std::size_t> serviceIndex;
     std::size_t longestPath = 0;
 
     void index();
-    const RouteDefinition *longestMatch(std::string_view path, const std::function<bool(const RouteDefinition &)> &takes) const;
-    const RouteDefinition *lookUp(std::string_view prefix, const std::function<bool(const RouteDefinition &)> &takes) const;
+    const RouteDefinition *longestMatch(std::string_view path, const std::function<bool(const RouteDefinition &)> &accepts) const;
+    const RouteDefinition *lookUp(std::string_view prefix, const std::function<bool(const RouteDefinition &)> &accepts) const;
 };
 
 namespace {
@@ -47,20 +47,19 @@
     }
 }
 
-// Looks the path up, then its beginnings, longest first, so that the time
-// grows with the path's segments and hardly with the number of routes. A path
-// beyond the longest configured one is cut first; a caller could else make
-// each call cost thousands of look-ups.
-const RouteDefinition *ConfigSnapshot::Private::longestMatch(std::string_view path, const std::function<bool(const RouteDefinition &)> &takes) const
+// Looks up the path, then its prefixes, longest first, so that the time grows with the number of
+// path segments and hardly with the number of routes. A path longer than the longest configured one
+// is truncated first; otherwise a caller could make each call cost thousands of look-ups.
+const RouteDefinition *ConfigSnapshot::Private::longestMatch(std::string_view path, const std::function<bool(const RouteDefinition &)> &accepts) const
 {
-    if (const auto *whole = lookUp(path, takes)) {
-        return whole;
+    if (const auto *exact = lookUp(path, accepts)) {
+        return exact;
     }
     auto slash = path.rfind('/', longestPath);
     while (slash != std::string_view::npos) {
-        const auto *found = lookUp(path.substr(0, slash + 1), takes);
+        const auto *found = lookUp(path.substr(0, slash + 1), accepts);
         if (found == nullptr && slash > 0) {
-            found = lookUp(path.substr(0, slash), takes);
+            found = lookUp(path.substr(0, slash), accepts);
         }
         if (found != nullptr || slash == 0) {
             return found;
@@ -70,11 +69,11 @@
     return nullptr;
 }
 
-const RouteDefinition *ConfigSnapshot::Private::lookUp(std::string_view prefix, const std::function<bool(const RouteDefinition &)> &takes) const
+const RouteDefinition *ConfigSnapshot::Private::lookUp(std::string_view prefix, const std::function<bool(const RouteDefinition &)> &accepts) const
 {
     const auto before = [](const RouteDefinition &route, std::string_view path) { return route.path < path; };
     auto route = std::lower_bound(routes.begin(), routes.end(), prefix, before);
-    while (route != routes.end() && route->path == prefix && !takes(*route)) {
+    while (route != routes.end() && route->path == prefix && !accepts(*route)) {
         ++route;
     }
     return route != routes.end() && route->path == prefix ? &*route : nullptr;
--- a/src/core/config/configsnapshot.h
+++ b/src/core/config/configsnapshot.h
@@ -11,20 +11,18 @@
 
 namespace Galenahill {
 
-// The merged meaning of a whole set of configuration files, valid and closed
-// under references: each route's service is defined in it. Immutable.
+// The parsed and merged content of a complete set of configuration files. It is valid, and all
+// references resolve: each route's service is defined in it. Immutable.
 class ConfigSnapshot
 {
 public:
-    // Parses and validates the files together. This is the only way from text
-    // to a snapshot, for check, acceptance and node alike. On refusal the
-    // message has one line per fault, each naming file, section, key and
-    // remedy.
+    // Parses and validates the files together. This is the only way from text to a snapshot, used
+    // alike for check, for acceptance and on the nodes. On rejection the message has one line per
+    // error, each naming file, section, key and remedy.
     static Result<std::shared_ptr<const ConfigSnapshot>> validate(const std::vector<ConfigFile> &files);
 
-    // The snapshot of definitions that come from elsewhere than INI files.
-    // Checks them against each other as `validate` does; on refusal the message
-    // has one line per fault.
+    // Builds a snapshot of definitions that don't come from INI files. Checks them against each
+    // other as `validate` does; on rejection the message has one line per error.
     static Result<std::shared_ptr<const ConfigSnapshot>> assemble(ConfigDefinitions definitions);
 
     ~ConfigSnapshot();
@@ -32,17 +30,17 @@
     const std::vector<ServiceDefinition> &services() const;
     const std::vector<RouteDefinition> &routes() const;
 
-    // What callers may send, and how long they may take.
+    // Limits on callers' requests and on the time that they take.
     const CallerLimits &callerLimits() const;
 
     // The service of that name, or null.
     const ServiceDefinition *service(const ServiceName &name) const;
 
-    // The route that takes the call: the longest matching path of that host
-    // that has the method. Null if none has.
+    // The route for the call: the longest matching path for that host that has the method. Null if
+    // there is none.
     const RouteDefinition *route(std::string_view method, std::string_view path, std::string_view host = {}) const;
 
-    // Whether any route of the host has the path, whatever the method.
+    // Whether any route of the host matches the path, whatever the method.
     bool hasPath(std::string_view path, std::string_view host = {}) const;
 
 private:
--- a/src/core/config/configtext.cpp
+++ b/src/core/config/configtext.cpp
@@ -19,10 +19,10 @@
     return true;
 }
 
-bool isPlainLine(std::string_view text, std::size_t most)
+bool isPlainLine(std::string_view text, std::size_t maxBytes)
 {
     const auto isControl = [](unsigned char c) { return c < 0x20 || c == 0x7f; };
-    return !text.empty() && text.size() <= most && std::none_of(text.begin(), text.end(), isControl) && isUtf8(text);
+    return !text.empty() && text.size() <= maxBytes && std::none_of(text.begin(), text.end(), isControl) && isUtf8(text);
 }
 
 }
--- a/src/core/config/configvalidator.cpp
+++ b/src/core/config/configvalidator.cpp
@@ -30,8 +30,8 @@
     "slo-latency-ms"};
 const std::vector<std::string> KnownMethods = {"GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"};
 
-// A comma-separated list without surrounding blanks; an empty item stays, so
-// that a stray comma is found.
+// Splits a comma-separated list and trims blanks; an empty item is kept so that a stray comma is
+// reported.
 std::vector<std::string> listItems(const std::string &value)
 {
     std::vector<std::string> items;
@@ -57,29 +57,29 @@
 
 }
 
-void ConfigValidator::fault(const FileName &file, const std::string &section, const std::string &text)
+void ConfigValidator::addError(const FileName &file, const std::string &section, const std::string &text)
 {
-    fault(fmt::format("{} [{}] {}", file.value(), section, text));
+    addError(fmt::format("{} [{}] {}", file.value(), section, text));
 }
 
-void ConfigValidator::fault(std::string text)
+void ConfigValidator::addError(std::string text)
 {
-    ++m_faultCount;
-    if (m_faults.size() < ConfigLimits::MaxFaults) {
-        m_faults.push_back(std::move(text));
+    ++m_errorCount;
+    if (m_errors.size() < ConfigLimits::MaxFaults) {
+        m_errors.push_back(std::move(text));
     }
 }
 
 void ConfigValidator::add(const ConfigFile &file)
 {
     if (!isName(file.name.value())) {
-        fault(fmt::format("\"{}\": not a file name; use letters, digits, '-', '_' and '.'", file.name.value()));
+        addError(fmt::format("\"{}\": not a valid file name; use letters, digits, '-', '_' and '.'", file.name.value()));
         return;
     }
     m_totalBytes += file.text.size();
     const auto document = ConfigDocument::parse(file);
     if (!document) {
-        fault(document.error().message);
+        addError(document.error().message);
         return;
     }
     for (const auto &section : document->sections()) {
@@ -87,11 +87,11 @@
         const auto type = section.name.substr(0, space);
         const auto name = sectionName(section);
         if (type != "service" && type != "route") {
-            fault(file.name, section.name, "no such kind of section; use [service NAME] or [route NAME]" + suggestion(type, {"service", "route"}));
+            addError(file.name, section.name, "no such section type; use [service NAME] or [route NAME]" + suggestion(type, {"service", "route"}));
             continue;
         }
         if (!isName(name)) {
-            fault(file.name, section.name, fmt::format("needs a name of letters, digits, '-', '_' and '.': write [{} NAME]", type));
+            addError(file.name, section.name, fmt::format("needs a name of letters, digits, '-', '_' and '.': write [{} NAME]", type));
             continue;
         }
         if (type == "service") {
@@ -117,13 +117,13 @@
 {
     for (const auto &[key, value] : section.entries) {
         if (std::find(known.begin(), known.end(), key) == known.end()) {
-            fault(file, section.name, fmt::format("{}: no such key{}; the keys are {}", key, suggestion(key, known), fmt::join(known, ", ")));
+            addError(file, section.name, fmt::format("{}: no such key{}; the keys are {}", key, suggestion(key, known), fmt::join(known, ", ")));
         }
     }
 }
 
 std::uint64_t ConfigValidator::number(
-    const FileName &file, const ConfigSection &section, const std::string &key, std::uint64_t least, std::uint64_t most, std::uint64_t fallback)
+    const FileName &file, const ConfigSection &section, const std::string &key, std::uint64_t min, std::uint64_t max, std::uint64_t fallback)
 {
     const auto *value = section.find(key);
     if (value == nullptr) {
@@ -132,8 +132,8 @@
     std::uint64_t result = 0;
     const auto *end = value->data() + value->size();
     const auto parsed = std::from_chars(value->data(), end, result);
-    if (parsed.ec != std::errc() || parsed.ptr != end || result < least || result > most) {
-        fault(file, section.name, fmt::format("{} = {}: give a whole number from {} to {}, alone on the line", key, *value, least, most));
+    if (parsed.ec != std::errc() || parsed.ptr != end || result < min || result > max) {
+        addError(file, section.name, fmt::format("{} = {}: give a whole number from {} to {}, alone on the line", key, *value, min, max));
         return fallback;
     }
     return result;
@@ -149,7 +149,7 @@
     const auto *end = value->data() + value->size();
     const auto parsed = std::from_chars(value->data(), end, result);
     if (parsed.ec != std::errc() || parsed.ptr != end || !(result >= 1 && result < 100)) {
-        fault(file, section.name, fmt::format("{} = {}: give a percentage from 1 to below 100, such as 99.9", key, *value));
+        addError(file, section.name, fmt::format("{} = {}: give a percentage from 1 to below 100, such as 99.9", key, *value));
         return 0;
     }
     return result;
@@ -159,15 +159,15 @@
 {
     const auto *dataCentres = section.find("data-centres");
     if (dataCentres == nullptr) {
-        fault(file, section.name, "data-centres is missing; list the data centres that have targets, such as 'data-centres = rosario-a, rosario-b'");
+        addError(file, section.name, "data-centres is missing; list the data centres that have targets, such as 'data-centres = rosario-a, rosario-b'");
         return;
     }
     for (const auto &item : listItems(*dataCentres)) {
         if (!isName(item)) {
-            fault(file, section.name, fmt::format("data-centres: \"{}\" is no data centre's name; separate names by single commas", item));
+            addError(file, section.name, fmt::format("data-centres: \"{}\" is not a valid data centre name; separate names with single commas", item));
         }
         if (std::count(service.dataCentres.begin(), service.dataCentres.end(), DataCentre(item)) > 0) {
-            fault(file, section.name, fmt::format("data-centres: {} is listed twice; remove one", item));
+            addError(file, section.name, fmt::format("data-centres: {} is listed twice; remove one", item));
         }
         service.dataCentres.emplace_back(item);
     }
@@ -181,17 +181,17 @@
     service.file = file;
     readDataCentres(file, section, service);
     if (section.find("slots") == nullptr) {
-        fault(file, section.name, "slots is missing; give the number of calls that one target runs at a time");
+        addError(file, section.name, "slots is missing; give the number of calls that one target runs at a time");
     }
     service.slots = static_cast<std::uint32_t>(number(file, section, "slots", 1, ConfigLimits::MaxSlots, 1));
     service.connections = static_cast<std::uint32_t>(number(file, section, "connections", 1, ConfigLimits::MaxConnections, service.slots));
     if (service.connections < service.slots) {
-        fault(file, section.name, fmt::format("connections = {}: fewer than slots = {}; each slot needs a connection", service.connections, service.slots));
+        addError(file, section.name, fmt::format("connections = {}: fewer than slots = {}; each slot needs a connection", service.connections, service.slots));
     }
     if (const auto *healthPath = section.find("health-path")) {
         service.healthPath = *healthPath;
         if (healthPath->empty() || healthPath->front() != '/') {
-            fault(file, section.name, fmt::format("health-path = {}: give a path that begins with '/'", *healthPath));
+            addError(file, section.name, fmt::format("health-path = {}: give a path that begins with '/'", *healthPath));
         }
     }
     m_definitions.services.push_back(std::move(service));
@@ -204,12 +204,12 @@
         return;
     }
     if (!isName(*host)) {
-        fault(file, section.name, fmt::format("host = {}: give the name that calls carry in Host, without a port", *host));
+        addError(file, section.name, fmt::format("host = {}: give the name that calls carry in Host, without a port", *host));
     }
     route.host = *host;
 }
 
-// Written as "NAME WEIGHT, NAME WEIGHT"; `service` then names the first part.
+// Written as "NAME WEIGHT, NAME WEIGHT"; `service` must name the first service.
 void ConfigValidator::readSplit(const FileName &file, const ConfigSection &section, RouteDefinition &route)
 {
     const auto *split = section.find("split");
@@ -224,7 +224,7 @@
         const auto *end = digits.data() + digits.size();
         const auto parsed = std::from_chars(digits.data(), end, weight);
         if (!isName(name) || parsed.ec != std::errc() || parsed.ptr != end || weight == 0 || weight > ConfigLimits::MaxWeight) {
-            fault(file,
+            addError(file,
                 section.name,
                 fmt::format("split: \"{}\": give parts as NAME WEIGHT with a weight from 1 to {}, separated by commas", item, ConfigLimits::MaxWeight));
             return;
@@ -232,7 +232,7 @@
         route.split.push_back({ServiceName(name), weight});
     }
     if (route.split.front().service != route.service) {
-        fault(file, section.name, fmt::format("split: begin with service = {}, which the route names first", route.service.value()));
+        addError(file, section.name, fmt::format("split: begin with service = {}, which the route names first", route.service.value()));
     }
 }
 
@@ -242,15 +242,15 @@
     const auto forbidden = [](unsigned char c) { return c <= ' ' || c == '?' || c == '#' || c > 126; };
     if (route.path.empty() || route.path.front() != '/' || std::any_of(route.path.begin(), route.path.end(), forbidden)
         || route.path.find("//") != std::string::npos) {
-        fault(file, section.name, fmt::format("path = {}: give a path that begins with '/', without blanks, '?', '#' or '//'", route.path));
+        addError(file, section.name, fmt::format("path = {}: give a path that begins with '/', without blanks, '?', '#' or '//'", route.path));
     } else if (route.path.size() > 1 && route.path.back() == '/') {
-        // With the slash the route would take /x/y but not /x, and stand over
-        // a route for /x that looks the same.
-        fault(file, section.name, fmt::format("path = {}: remove the slash at the end; a path takes all that continues it after a slash", route.path));
+        // With the slash, the route would match /x/y but not /x, and take precedence over a route
+        // for /x that looks the same.
+        addError(file, section.name, fmt::format("path = {}: remove the slash at the end; a route matches its path and all paths below it", route.path));
     } else if (route.path.find_first_of("*{}[]()^$\\|<>\"") != std::string::npos || route.path.find("/:") != std::string::npos) {
-        fault(file, section.name, fmt::format("path = {}: patterns aren't known; give the beginning of the path that all calls share", route.path));
+        addError(file, section.name, fmt::format("path = {}: patterns aren't supported; give the path prefix that all calls share", route.path));
     } else if ((route.path + "/").find("/./") != std::string::npos || (route.path + "/").find("/../") != std::string::npos) {
-        fault(file, section.name, fmt::format("path = {}: write the path without '.' and '..'", route.path));
+        addError(file, section.name, fmt::format("path = {}: write the path without '.' and '..'", route.path));
     }
 }
 
@@ -258,9 +258,9 @@
 {
     for (const auto &method : listItems(*section.find("methods"))) {
         if (std::find(KnownMethods.begin(), KnownMethods.end(), method) == KnownMethods.end()) {
-            fault(file, section.name, fmt::format("methods: \"{}\" is no method; the methods are {}", method, fmt::join(KnownMethods, ", ")));
+            addError(file, section.name, fmt::format("methods: \"{}\" is not a known method; the methods are {}", method, fmt::join(KnownMethods, ", ")));
         } else if (std::find(route.methods.begin(), route.methods.end(), method) != route.methods.end()) {
-            fault(file, section.name, fmt::format("methods: {} is listed twice; remove one", method));
+            addError(file, section.name, fmt::format("methods: {} is listed twice; remove one", method));
         } else {
             route.methods.push_back(method);
         }
@@ -271,23 +271,23 @@
 {
     const auto &idempotent = *section.find("idempotent");
     if (idempotent != "yes" && idempotent != "no") {
-        fault(file, section.name, fmt::format("idempotent = {}: write yes if a repeated call does no harm, else no", idempotent));
+        addError(file, section.name, fmt::format("idempotent = {}: write yes if a repeated call does no harm, else no", idempotent));
     }
     route.type = idempotent == "yes" ? CallType::Idempotent : CallType::NonIdempotent;
-    // A read route copied for payments keeps its "yes", and one lost answer
-    // then runs a payment twice. HTTP doesn't promise that these methods can
-    // be repeated, so no file may say so.
+    // A read route that was copied for payments keeps its "yes", and a lost response then runs a
+    // payment twice. HTTP doesn't define these methods as idempotent, so no file may declare them
+    // to be.
     for (const std::string method : {"POST", "PATCH"}) {
         if (route.idempotent() && std::find(route.methods.begin(), route.methods.end(), method) != route.methods.end()) {
-            fault(file,
+            addError(file,
                 section.name,
                 fmt::format("idempotent = yes: {} calls are never run again; give {} a route of its own with 'idempotent = no'", method, method));
         }
     }
 }
 
-// Whether a call with a large body may be repeated doesn't depend on its body;
-// but the body is gone with the first attempt that took it.
+// A large body doesn't change whether the call may be retried, but the body is gone with the first
+// attempt that received it.
 void ConfigValidator::readLargeBodies(const FileName &file, const ConfigSection &section, RouteDefinition &route)
 {
     const auto *large = section.find("large-bodies");
@@ -295,9 +295,9 @@
         return;
     }
     if (*large != "yes") {
-        fault(file, section.name, fmt::format("large-bodies = {}: write yes if calls carry bodies of tens of kilobytes or more, else no", *large));
+        addError(file, section.name, fmt::format("large-bodies = {}: write yes if calls carry bodies of tens of kilobytes or more, else no", *large));
     } else if (route.idempotent()) {
-        fault(file, section.name, "large-bodies = yes: uploads are never run again; write 'idempotent = no', or remove large-bodies");
+        addError(file, section.name, "large-bodies = yes: uploads are never run again; write 'idempotent = no', or remove large-bodies");
     } else {
         route.type = CallType::Upload;
     }
@@ -306,12 +306,12 @@
 void ConfigValidator::checkObjectives(const ConfigSection &section, const RouteDefinition &route)
 {
     if (route.sloLatency > route.timeout) {
-        fault(route.file,
+        addError(route.file,
             section.name,
             fmt::format("slo-latency-ms = {}: above timeout-ms = {}, so no call could miss it; lower it", route.sloLatency.count(), route.timeout.count()));
     }
     if (route.sloLatency.count() > 0 && route.sloAvailability == 0) {
-        fault(route.file, section.name, "slo-latency-ms: needs slo-availability, the share of calls that should be as fast; add it, such as 99.9");
+        addError(route.file, section.name, "slo-latency-ms: needs slo-availability, the share of calls that should be as fast; add it, such as 99.9");
     }
 }
 
@@ -320,7 +320,7 @@
     checkKeys(file, section, RouteKeys);
     for (const std::string key : {"path", "methods", "service", "idempotent", "timeout-ms"}) {
         if (section.find(key) == nullptr) {
-            fault(file, section.name, fmt::format("{} is missing; each route gives path, methods, service, idempotent and timeout-ms", key));
+            addError(file, section.name, fmt::format("{} is missing; each route gives path, methods, service, idempotent and timeout-ms", key));
             return;
         }
     }
@@ -337,7 +337,7 @@
     route.timeout = Milliseconds(number(file, section, "timeout-ms", ConfigLimits::MinTimeout.count(), ConfigLimits::MaxTimeout.count(), 1000));
     route.retries = static_cast<std::uint32_t>(number(file, section, "retries", 0, ConfigLimits::MaxRetries, 0));
     if (!route.idempotent() && route.retries > 0) {
-        fault(file,
+        addError(file,
             section.name,
             fmt::format("retries = {}: a route that isn't idempotent is never run again; remove retries, or write 'idempotent = yes' if repeating does no harm",
                 route.retries));
@@ -356,14 +356,13 @@
     for (const auto &service : m_definitions.services) {
         const auto [first, added] = services.emplace(service.name, service.file);
         if (!added) {
-            fault(service.file, "service " + service.name.value(), fmt::format("also defined in {}; remove one of the two", first->second.value()));
+            addError(service.file, "service " + service.name.value(), fmt::format("also defined in {}; remove one of the two", first->second.value()));
         }
     }
 }
 
-// Pointers to all routes, those that compare equal side by side and in the
-// order in which they were defined. Maps with copies of the names took as much
-// memory as the routes themselves.
+// Pointers to all routes, with those that compare equal next to each other and in the order of
+// their definition. Maps with copies of the names took as much memory as the routes themselves.
 std::vector<const RouteDefinition *> ConfigValidator::sortedRoutes(const std::function<int(const RouteDefinition &, const RouteDefinition &)> &compare) const
 {
     std::vector<const RouteDefinition *> routes;
@@ -371,7 +370,7 @@
     for (const auto &route : m_definitions.routes) {
         routes.push_back(&route);
     }
-    // Ordered by place as well, since a stable sort would take a second buffer.
+    // The address breaks ties, since a stable sort would need a second buffer.
     std::sort(routes.begin(), routes.end(), [&](const auto *left, const auto *right) {
         const auto order = compare(*left, *right);
         return order != 0 ? order < 0 : left < right;
@@ -385,7 +384,7 @@
     const RouteDefinition *first = nullptr;
     for (const auto *route : sortedRoutes(compare)) {
         if (first != nullptr && first->name == route->name) {
-            fault(route->file, "route " + route->name.value(), fmt::format("also defined in {}; remove or rename one of the two", first->file.value()));
+            addError(route->file, "route " + route->name.value(), fmt::format("also defined in {}; remove or rename one of the two", first->file.value()));
         } else {
             first = route;
         }
@@ -408,8 +407,7 @@
     }
 }
 
-// Finds the first route of the same host and path that takes one of the route's
-// methods already.
+// Finds the first route with the same host and path that already has one of this route's methods.
 void ConfigValidator::checkMethods(const RouteDefinition &route, RouteIterator first, RouteIterator last)
 {
     static const std::vector<std::string> anyMethod = {"any method"};
@@ -420,7 +418,7 @@
             return std::find(methods.begin(), methods.end(), method) != methods.end();
         });
         if (other != last && (*other)->name != route.name) {
-            fault(route.file,
+            addError(route.file,
                 "route " + route.name.value(),
                 fmt::format("path = {}: {} is already taken by [route {}] in {}; change the path or the methods",
                     route.path,
@@ -453,14 +451,14 @@
     if (std::binary_search(known.begin(), known.end(), service.value())) {
         return;
     }
-    // Looking for the nearest of thousands of names takes long, so not for
-    // faults that aren't shown.
-    const bool shown = m_faults.size() < ConfigLimits::MaxFaults;
-    fault(route.file,
+    // Finding the nearest of thousands of names takes long, so it is skipped for errors that aren't
+    // listed.
+    const bool listed = m_errors.size() < ConfigLimits::MaxFaults;
+    addError(route.file,
         "route " + route.name.value(),
         fmt::format("service = {}: no such service{}; define [service {}] or name an existing one",
             service.value(),
-            shown ? suggestion(service.value(), known) : std::string(),
+            listed ? suggestion(service.value(), known) : std::string(),
             service.value()));
 }
 
@@ -471,13 +469,13 @@
     checkRouteCalls();
     checkReferences();
     if (m_totalBytes > ConfigLimits::MaxTotalBytes) {
-        fault(fmt::format("all files: {} bytes together, at most {} are taken; remove what isn't needed", m_totalBytes, ConfigLimits::MaxTotalBytes));
+        addError(fmt::format("all files: {} bytes in total, the limit is {}; remove files that aren't needed", m_totalBytes, ConfigLimits::MaxTotalBytes));
     }
-    if (!m_faults.empty()) {
-        if (m_faultCount > m_faults.size()) {
-            m_faults.push_back(fmt::format("and {} more faults; mend these first", m_faultCount - m_faults.size()));
+    if (!m_errors.empty()) {
+        if (m_errorCount > m_errors.size()) {
+            m_errors.push_back(fmt::format("and {} more errors; fix these first", m_errorCount - m_errors.size()));
         }
-        return failure(ErrorKind::Invalid, fmt::format("{}", fmt::join(m_faults, "\n")));
+        return failure(ErrorKind::Invalid, fmt::format("{}", fmt::join(m_errors, "\n")));
     }
     return std::move(m_definitions);
 }
--- a/src/core/config/configvalidator.h
+++ b/src/core/config/configvalidator.h
@@ -10,17 +10,17 @@
 
 namespace Galenahill {
 
-// Checks files one by one, then what they say about each other. All faults
-// are collected, so that an operator mends a file in one go.
+// Checks each file, then the files against each other. All errors are collected, so that an
+// operator can fix a file in one pass.
 class ConfigValidator
 {
 public:
     void add(const ConfigFile &file);
 
-    // Takes definitions that don't come from a file.
+    // Adds definitions that don't come from a file.
     void add(ConfigDefinitions definitions);
 
-    // The definitions, or Invalid with one line per fault.
+    // The definitions, or Invalid with one line per error.
     Result<ConfigDefinitions> finish();
 
 private:
@@ -45,14 +45,14 @@
     std::vector<const RouteDefinition *> sortedRoutes(const std::function<int(const RouteDefinition &, const RouteDefinition &)> &compare) const;
     void checkKeys(const FileName &file, const ConfigSection &section, const std::vector<std::string> &known);
     std::uint64_t number(
-        const FileName &file, const ConfigSection &section, const std::string &key, std::uint64_t least, std::uint64_t most, std::uint64_t fallback);
+        const FileName &file, const ConfigSection &section, const std::string &key, std::uint64_t min, std::uint64_t max, std::uint64_t fallback);
     double percentage(const FileName &file, const ConfigSection &section, const std::string &key);
-    void fault(const FileName &file, const std::string &section, const std::string &text);
-    void fault(std::string text);
+    void addError(const FileName &file, const std::string &section, const std::string &text);
+    void addError(std::string text);
 
     ConfigDefinitions m_definitions;
-    std::vector<std::string> m_faults;
-    std::size_t m_faultCount = 0;
+    std::vector<std::string> m_errors;
+    std::size_t m_errorCount = 0;
     std::size_t m_totalBytes = 0;
 };
 
--- a/src/core/config/contenthash.h
+++ b/src/core/config/contenthash.h
@@ -6,8 +6,8 @@
 
 namespace Galenahill {
 
-// The 128-bit XXH3 hash of a text. Guards against mix-ups and damage, not
-// against somebody who crafts collisions: who can write blobs can write head.
+// The 128-bit XXH3 hash of a text. Protects against mix-ups and corruption, not against crafted
+// collisions: anyone who can write blobs can also write the head.
 ContentHash contentHash(std::string_view text);
 
 }
--- a/src/core/config/historymerge.cpp
+++ b/src/core/config/historymerge.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Changes of `line` that `other` doesn't have. What is older than the changes
-// that `other` keeps was forgotten there, not missing.
-std::vector<AppliedChange> missingIn(const Manifest &other, const Manifest &line)
+// Changes of `history` that `other` doesn't have. Changes older than those that `other` keeps were
+// forgotten there, and don't count as missing.
+std::vector<AppliedChange> missingIn(const Manifest &other, const Manifest &history)
 {
     std::vector<AppliedChange> missing;
-    for (const auto &change : line.changes) {
+    for (const auto &change : history.changes) {
         if (!other.forgets(change.revision) && !other.change(change.id)) {
             missing.push_back(change);
         }
@@ -25,18 +25,18 @@
     return found == manifest.files.end() ? ContentHash() : found->second;
 }
 
-void take(Manifest &manifest, const Manifest &stored, const AppliedChange &change)
+void adopt(Manifest &manifest, const Manifest &stored, const AppliedChange &change)
 {
-    auto taken = change;
-    taken.revision = Revision(manifest.revision.value() + 1);
-    taken.previous = hashIn(manifest, change.file);
+    auto adopted = change;
+    adopted.revision = Revision(manifest.revision.value() + 1);
+    adopted.previous = hashIn(manifest, change.file);
     const auto hash = hashIn(stored, change.file);
     if (hash == ContentHash()) {
         manifest.files.erase(change.file);
     } else {
         manifest.files[change.file] = hash;
     }
-    manifest.record(taken);
+    manifest.record(adopted);
 }
 
 }
@@ -49,13 +49,13 @@
 MergedHistory mergeHistories(const Manifest &inForce, const Manifest &stored)
 {
     MergedHistory merged{inForce, {}, {}};
-    const auto own = missingIn(stored, inForce);
+    const auto missingInStore = missingIn(stored, inForce);
     for (const auto &change : missingIn(inForce, stored)) {
-        const bool bothChanged = std::any_of(own.begin(), own.end(), [&](const auto &other) { return other.file == change.file; });
+        const bool bothChanged = std::any_of(missingInStore.begin(), missingInStore.end(), [&](const auto &other) { return other.file == change.file; });
         if (bothChanged) {
             merged.leftOut.push_back(change);
         } else {
-            take(merged.manifest, stored, change);
+            adopt(merged.manifest, stored, change);
             merged.taken.push_back(change);
         }
     }
--- a/src/core/config/manifest.cpp
+++ b/src/core/config/manifest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Far above any number that acceptances reach. A damaged head near the type's
-// end would make the next revision wrap around to zero, which no node takes.
+// Far above any number that is ever reached. In a damaged head, a number near the type's maximum
+// would make the next revision wrap around to zero, which no node adopts.
 constexpr std::uint64_t MaxRevision = std::uint64_t(1) << 62;
 
-// A number that is written as a whole one; the JSON library would otherwise
-// convert negative numbers and fractions without a word.
+// Accepts only unsigned integers; the JSON library would otherwise silently convert negative
+// numbers and fractions.
 Revision revisionFrom(const nlohmann::json &json)
 {
     if (!json.is_number_unsigned() || json.get<std::uint64_t>() > MaxRevision) {
-        throw nlohmann::json::other_error::create(501, "a revision is no whole number in range", nullptr);
+        throw nlohmann::json::other_error::create(501, "a revision is not a whole number in range", nullptr);
     }
     return Revision(json.get<std::uint64_t>());
 }
@@ -121,7 +121,7 @@
         }
         return manifest;
     } catch (const nlohmann::json::exception &error) {
-        return failure(ErrorKind::Corrupt, std::string("config/head doesn't decode: ") + error.what() + "; restore the object from a backup");
+        return failure(ErrorKind::Corrupt, std::string("config/head can't be decoded: ") + error.what() + "; restore the object from a backup");
     }
 }
 
--- a/src/core/config/manifest.h
+++ b/src/core/config/manifest.h
@@ -10,18 +10,18 @@
 
 namespace Galenahill {
 
-// One apply that was accepted.
+// One accepted change.
 struct AppliedChange
 {
     ApplyId id;
     Revision revision;
     FileName file;
     std::string operatorName;
-    // Seconds since the epoch by the accepting node's clock; for people only.
+    // Seconds since the epoch by the accepting node's clock; for display only.
     std::int64_t time = 0;
     bool removed = false;
-    // Content that the file had before; empty if there was no such file. Lets
-    // an earlier revision be worked out from a later one.
+    // Hash of the file's previous content; empty if the file didn't exist. Allows an earlier
+    // revision to be reconstructed from a later one.
     ContentHash previous;
 
     friend bool operator==(const AppliedChange &, const AppliedChange &) = default;
@@ -33,34 +33,33 @@
     return inspector(change.id, change.revision, change.file, change.operatorName, change.time, change.removed, change.previous);
 }
 
-// Which content each file has in one revision, with the last changes that led
-// there. The store's head object holds its JSON form.
+// The content hash of each file in one revision, with the latest changes that led to it. The
+// store's head object holds its JSON form.
 struct Manifest
 {
-    // Changes kept; older ones can no longer be settled by their apply id.
+    // Number of changes kept; the outcome of older ones can no longer be looked up by apply id.
     static constexpr std::size_t MaxChanges = 64;
 
     Revision revision;
     std::map<FileName, ContentHash> files;
     std::vector<AppliedChange> changes;
 
-    // The change of that id, if it is among the ones kept.
+    // The change with that id, if it is among the ones kept.
     std::optional<AppliedChange> change(const ApplyId &id) const;
 
-    // The last change of that file, if it is among the ones kept.
+    // The latest change of that file, if it is among the ones kept.
     std::optional<AppliedChange> lastChange(const FileName &file) const;
 
-    // Whether changes above that revision may be missing from the ones kept.
+    // Whether changes later than that revision may be missing from the ones kept.
     bool forgets(Revision revision) const;
 
     void record(AppliedChange change);
 
-    // The files as they were in an earlier revision; NotFound if the changes
-    // since aren't all kept, or if it never was.
+    // The manifest of an earlier revision; NotFound if the changes since aren't all kept, or if the
+    // revision never existed.
     Result<Manifest> at(Revision earlier) const;
 
-    // Contents of earlier revisions that `at` can still give, as far as the
-    // present one doesn't have them.
+    // Hashes of the replaced contents from which `at` can still restore earlier revisions.
     std::vector<ContentHash> retained() const;
 
     std::string toJson() const;
--- a/src/core/config/nearestname.cpp
+++ b/src/core/config/nearestname.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Names are shorter. The comparison's time grows with the product of the
-// lengths, so a hostile word would hold up an acceptance.
+// Valid names are not longer. The time to compare grows with the product of the lengths, so a
+// maliciously long word would delay the acceptance of a configuration.
 constexpr std::size_t MaxWordLength = 100;
 
 std::size_t editDistance(const std::string &left, const std::string &right)
@@ -31,7 +31,7 @@
 
 std::string nearestName(const std::string &word, const std::vector<std::string> &candidates)
 {
-    // Beyond a third of the word a suggestion is more likely wrong than right.
+    // Beyond a distance of a third of the word, a suggestion is more likely wrong than right.
     std::size_t best = std::max<std::size_t>(2, word.size() / 3) + 1;
     std::string nearest;
     if (word.size() > MaxWordLength) {
--- a/src/core/config/nearestname.h
+++ b/src/core/config/nearestname.h
@@ -5,11 +5,10 @@
 
 namespace Galenahill {
 
-// The candidate that a misspelt word most likely meant, or an empty string if
-// none is close.
+// The candidate that a misspelt word most likely stands for; empty if none is close.
 std::string nearestName(const std::string &word, const std::vector<std::string> &candidates);
 
-// The text "; did you mean "x"?" for the nearest candidate, or nothing.
+// The text "; did you mean "x"?" for the nearest candidate; empty if none is close.
 std::string suggestion(const std::string &word, const std::vector<std::string> &candidates);
 
 }
--- a/src/core/config/nodesettings.h
+++ b/src/core/config/nodesettings.h
@@ -9,7 +9,7 @@
 
 namespace Galenahill {
 
-// What the spreading of news weighs more.
+// Priority of gossip: fast convergence or few bytes.
 enum class GossipPreference {
     // Convergence time.
     Time,
@@ -17,7 +17,7 @@
     Bytes,
 };
 
-// A node's settings, read once at start.
+// Settings of a node, read once at start.
 struct NodeSettings
 {
     NodeName name;
@@ -26,7 +26,7 @@
     std::uint16_t ingressPort = 0;
     std::uint16_t sidecarPort = 0;
     std::uint16_t controlPort = 0;
-    // Time that a planned stop waits for requests in flight.
+    // Time that a planned stop waits for calls in flight.
     Milliseconds drainTimeout{30000};
     std::string logLevel = "info";
 
@@ -37,24 +37,22 @@
     Endpoint store;
     Milliseconds storeTimeout{3000};
 
-    // Nodes to join through when the store is out or has no contacts.
+    // Nodes to join through when the store is unavailable or lists no contacts.
     std::vector<Endpoint> seeds;
 
-    // Whether news of a revision go out fast or with few bytes.
+    // Whether updates about a revision are sent fast or with few bytes.
     GossipPreference prefer = GossipPreference::Time;
-    // Members that each round of news goes to; zero leaves it to `prefer`.
+    // Members that each gossip round sends updates to; zero: chosen by `prefer`.
     std::uint32_t fanOut = 0;
     // Members of each data centre that watch the store's head.
     std::uint32_t watchers = 2;
-    // Share of datagrams that the node drops before sending, in percent. For
-    // experiments with a lossy network only.
+    // Percentage of datagrams that the node drops before sending. Only for experiments with a lossy
+    // network.
     std::uint32_t dropPercent = 0;
-    // Lets a harness play cut and lossy links; never set it where callers are
-    // served.
+    // Lets a test harness simulate broken and lossy links; never enable it in production.
     bool linkFaults = false;
 
-    // Reads an INI text. Invalid with one line per fault, each naming
-    // section, key and remedy.
+    // Parses an INI text. Invalid with one line per error, each naming section, key and remedy.
     static Result<NodeSettings> parse(const std::string &fileName, const std::string &text);
 };
 
--- a/src/core/config/platformnodesettings.cpp
+++ b/src/core/config/platformnodesettings.cpp
@@ -14,7 +14,7 @@
 using S = PlatformNodeSettings;
 
 constexpr double MaxSeconds = 3600;
-constexpr double MaxRepeats = 100000;
+constexpr double MaxRetrySlack = 100000;
 constexpr std::uint32_t MaxLinkMbps = 10'000'000;
 
 std::string readFirstStart(S &settings, const std::string &value)
@@ -80,7 +80,7 @@
             {
                 {"seeds", {false, [](S &s, const std::string &value) { return readEndpoints(s.seeds, value); }}},
                 {"repeat-share", {false, fraction<S>([](S &s) -> double & { return s.repeatShare; }, 1)}},
-                {"repeat-slack", {false, fraction<S>([](S &s) -> double & { return s.repeatSlack; }, MaxRepeats)}},
+                {"repeat-slack", {false, fraction<S>([](S &s) -> double & { return s.repeatSlack; }, MaxRetrySlack)}},
                 {"load-report-interval-s", {false, seconds<S>([](S &s) -> Milliseconds & { return s.loadReportInterval; }, MaxSeconds)}},
             }},
     };
--- a/src/core/config/platformnodesettings.h
+++ b/src/core/config/platformnodesettings.h
@@ -9,54 +9,51 @@
 
 namespace Galenahill {
 
-// Settings of a node whose configuration is one document in the platform's
-// store and whose target announces itself.
+// Settings of a node whose configuration is one document in the platform's store and whose target
+// registers itself.
 struct PlatformNodeSettings
 {
     NodeName name;
     DataCentre dataCentre;
     // Service of the target beside the node, and of the callers on its VM.
     ServiceName service;
-    // Whether the whole fleet starts for the first time.
+    // Whether the whole fleet is started for the first time.
     bool firstStart = false;
     std::string logLevel = "info";
-    // Speed of the VM's link; zero: not known.
+    // Bandwidth of the VM's link; zero: unknown.
     std::uint32_t linkMbps = 0;
 
-    // Where callers send calls, where other nodes pass them on to this one's
-    // target, where the target announces itself, and where the platform asks
-    // whether this node takes calls.
+    // Addresses at which callers send calls, other nodes forward calls to the local target, the
+    // target registers itself, and the platform probes whether this node is ready.
     Endpoint ingress;
     Endpoint sidecar;
     Endpoint registration;
     Endpoint readiness;
-    // Where other nodes reach this one, by TCP and UDP.
+    // Address at which other nodes reach this one, by TCP and UDP.
     Endpoint peers;
-    // Where metrics are read; port zero: only at `peers`.
+    // Address of the metrics; port zero: served at `peers` only.
     Endpoint metrics;
 
     Endpoint target;
-    // Time between two announcements of the target.
+    // Interval of the target's heartbeats.
     Milliseconds heartbeatInterval{1000};
 
     Endpoint store;
-    // Control addresses of nodes to join through while the store is out.
+    // Control addresses of nodes to join through while the store is unavailable.
     std::vector<Endpoint> seeds;
 
-    // Time that a planned stop may take.
+    // Maximum duration of a planned stop.
     Milliseconds stopTimeout{6000};
-    // Repeats of calls that the fleet may send to a service: a share of its
-    // calls, and so many more in a window.
+    // Retry budget of the fleet for each service: a share of its calls, plus a fixed number per
+    // window.
     double repeatShare = 0.1;
     double repeatSlack = 20;
-    // Share of a service's calls that a version which turns out bad may get in the
-    // time of its rollout.
+    // Largest share of a service's calls that a bad version may get during its rollout.
     double rolloutExposure = 0.1;
-    // Time between two reports of the targets' load to other nodes; zero: none.
+    // Interval of the reports of the targets' load to other nodes; zero: no reports.
     Milliseconds loadReportInterval{100};
 
-    // Reads an INI text. Invalid with one line per fault, each naming
-    // section, key and remedy.
+    // Parses an INI text. Invalid with one line per error, each naming section, key and remedy.
     static Result<PlatformNodeSettings> parse(const std::string &fileName, const std::string &text);
 };
 
--- a/src/core/config/routedefinition.h
+++ b/src/core/config/routedefinition.h
@@ -9,11 +9,11 @@
 
 namespace Galenahill {
 
-// One part of a route whose calls are distributed over several services.
+// One of several services that share the calls of a route.
 struct WeightedService
 {
     ServiceName service;
-    // Share of the calls, relative to the sum of all parts' weights.
+    // Share of the calls, relative to the sum of all weights.
     std::uint32_t weight = 1;
 
     friend bool operator==(const WeightedService &, const WeightedService &) = default;
@@ -24,32 +24,32 @@
 {
     RouteName name;
     FileName file;
-    // Host that the call must name; empty: any.
+    // Host name that the call must carry; empty: any.
     std::string host;
-    // Path that the call's path equals or continues after a slash. With a
-    // slash at its end, calls must continue it.
+    // Path prefix: the call's path equals it or continues it after a slash. If it ends with a
+    // slash, the call's path must continue it.
     std::string path;
-    // Methods that the route takes; empty: all.
+    // Methods that the route accepts; empty: all.
     std::vector<std::string> methods;
     ServiceName service;
-    // Services that take the calls by weight instead of `service`, which is
-    // then the first of them; empty: all go to `service`.
+    // Services that share the calls by weight instead of `service`, which is then the first of
+    // them; empty: all calls go to `service`.
     std::vector<WeightedService> split;
     CallType type = CallType::NonIdempotent;
     Milliseconds timeout{1000};
-    // Further attempts after the first; always zero unless idempotent.
+    // Maximum number of retries; always zero unless idempotent.
     std::uint32_t retries = 0;
-    // Most targets that one call may be sent to, those that answer that they
-    // didn't run it counted.
+    // Maximum number of targets that one call may be sent to, including those that rejected it
+    // without running it.
     std::uint32_t maxTargets = 4;
-    // Rank among the routes that wait for one target; zero goes first.
+    // Priority among the routes that wait for the same target; zero is served first.
     std::uint32_t priority = 0;
-    // Share of the calls that should succeed, in per cent; zero: no objective.
+    // Availability objective: percentage of calls that should succeed; zero: none.
     double sloAvailability = 0;
-    // Time within which a successful call should be answered; zero: none.
+    // Latency objective for successful calls; zero: none.
     Milliseconds sloLatency{0};
 
-    // Whether running a call twice does no harm.
+    // Whether a call may run more than once without harm.
     bool idempotent() const
     {
         return type == CallType::Idempotent;
--- a/src/core/config/servicedefinition.h
+++ b/src/core/config/servicedefinition.h
@@ -14,11 +14,11 @@
     ServiceName name;
     FileName file;
     std::vector<DataCentre> dataCentres;
-    // Calls that one target runs at a time.
+    // Number of calls that one target runs concurrently.
     std::uint32_t slots = 1;
-    // Connections that one target accepts.
+    // Number of connections that one target accepts.
     std::uint32_t connections = 1;
-    // Path at which a target says whether it takes calls.
+    // Path of the target's health check.
     std::string healthPath = "/health";
 };
 
--- a/src/core/config/settingsreader.cpp
+++ b/src/core/config/settingsreader.cpp
@@ -26,19 +26,19 @@
     return names;
 }
 
-void findUnknown(const std::string &fileName, const ConfigSection &section, const RequiredKeys &keys, std::vector<std::string> &faults)
+void reportUnknown(const std::string &fileName, const ConfigSection &section, const RequiredKeys &keys, std::vector<std::string> &errors)
 {
     const auto known = keys.find(section.name);
     if (known == keys.end()) {
         const auto names = namesOf(keys);
-        faults.push_back(
+        errors.push_back(
             fmt::format("{} [{}]: no such section{}; the sections are {}", fileName, section.name, suggestion(section.name, names), fmt::join(names, ", ")));
         return;
     }
     for (const auto &[name, value] : section.entries) {
         if (known->second.count(name) == 0) {
             const auto names = namesOf(known->second);
-            faults.push_back(
+            errors.push_back(
                 fmt::format("{} [{}] {}: no such key{}; the keys are {}", fileName, section.name, name, suggestion(name, names), fmt::join(names, ", ")));
         }
     }
@@ -46,12 +46,12 @@
 
 }
 
-std::optional<std::uint64_t> wholeNumber(const std::string &text, std::uint64_t least, std::uint64_t most)
+std::optional<std::uint64_t> wholeNumber(const std::string &text, std::uint64_t min, std::uint64_t max)
 {
     std::uint64_t value = 0;
     const auto *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
-    const bool fits = parsed.ec == std::errc() && parsed.ptr == end && value >= least && value <= most;
+    const bool fits = parsed.ec == std::errc() && parsed.ptr == end && value >= min && value <= max;
     return fits ? std::optional(value) : std::nullopt;
 }
 
@@ -96,20 +96,20 @@
     return std::find(levels.begin(), levels.end(), value) != levels.end();
 }
 
-std::optional<double> decimalNumber(const std::string &text, double most)
+std::optional<double> decimalNumber(const std::string &text, double max)
 {
     double value = 0;
     const auto *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
-    const bool fits = parsed.ec == std::errc() && parsed.ptr == end && value >= 0 && value <= most;
+    const bool fits = parsed.ec == std::errc() && parsed.ptr == end && value >= 0 && value <= max;
     return fits ? std::optional(value) : std::nullopt;
 }
 
 std::vector<std::string> unknownOrMissing(const std::string &fileName, const ConfigDocument &document, const RequiredKeys &keys)
 {
-    std::vector<std::string> faults;
+    std::vector<std::string> errors;
     for (const auto &section : document.sections()) {
-        findUnknown(fileName, section, keys, faults);
+        reportUnknown(fileName, section, keys, errors);
     }
     for (const auto &[sectionName, entries] : keys) {
         for (const auto &[name, required] : entries) {
@@ -117,21 +117,21 @@
             const auto section
                 = std::find_if(sections.begin(), sections.end(), [&, wanted = sectionName](const auto &candidate) { return candidate.name == wanted; });
             if (required && (section == sections.end() || section->find(name) == nullptr)) {
-                faults.push_back(fmt::format("{} [{}] {}: missing; add it, docs/OPERATIONS.md has an example", fileName, sectionName, name));
+                errors.push_back(fmt::format("{} [{}] {}: missing; add it, docs/OPERATIONS.md has an example", fileName, sectionName, name));
             }
         }
     }
-    return faults;
+    return errors;
 }
 
-std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &fault)
+std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error)
 {
-    return fmt::format("{} [{}] {} = {}: {}", fileName, section, name, value, fault);
+    return fmt::format("{} [{}] {} = {}: {}", fileName, section, name, value, error);
 }
 
-tl::unexpected<Error> faultsFound(const std::vector<std::string> &faults)
+tl::unexpected<Error> faultsFound(const std::vector<std::string> &errors)
 {
-    return failure(ErrorKind::Invalid, fmt::format("{}", fmt::join(faults, "\n")));
+    return failure(ErrorKind::Invalid, fmt::format("{}", fmt::join(errors, "\n")));
 }
 
 }
