--- a/src/core/config/settingsreader.h
+++ b/src/core/config/settingsreader.h
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-// Reads a program's settings from an INI text by a table of the keys that it
-// knows. All faults are collected, each naming section, key and remedy.
+// Reads the settings of a program from an INI text by a table of known keys. All errors are
+// collected, each naming section, key and remedy.
 namespace Galenahill::SettingsReader {
 
-// Takes a value into the settings; gives the fault in words, or nothing.
+// Stores a value in the settings; returns the error text, or an empty string.
 template <typename Settings>
 using Reader = std::function<std::string(Settings &, const std::string &)>;
 
@@ -31,33 +31,33 @@
 template <typename Settings>
 using Keys = std::map<std::string, std::map<std::string, Key<Settings>>>;
 
-std::optional<std::uint64_t> wholeNumber(const std::string &text, std::uint64_t least, std::uint64_t most);
+std::optional<std::uint64_t> wholeNumber(const std::string &text, std::uint64_t min, std::uint64_t max);
 
-// Reads "IP:PORT, IP:PORT"; an empty text is an empty list.
+// Parses "IP:PORT, IP:PORT"; an empty text is an empty list.
 std::string readEndpoints(std::vector<Endpoint> &endpoints, const std::string &text);
 
 // Whether the value is a plain name of up to 100 characters.
 bool isPlainText(const std::string &value);
 bool isLogLevel(const std::string &value);
 
-// A decimal number from zero to the bound.
-std::optional<double> decimalNumber(const std::string &text, double most);
+// A decimal number from zero to the maximum.
+std::optional<double> decimalNumber(const std::string &text, double max);
 
-// What a document lacks or has too much, given the known keys: whether each is
-// required, by section and name.
+// Reports unknown sections and keys, and required keys that are missing. The table says by section
+// and name whether a key is required.
 using RequiredKeys = std::map<std::string, std::map<std::string, bool>>;
 std::vector<std::string> unknownOrMissing(const std::string &fileName, const ConfigDocument &document, const RequiredKeys &keys);
 
-// Joins faults, a line each, into the failure that the caller reports.
-tl::unexpected<Error> faultsFound(const std::vector<std::string> &faults);
-std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &fault);
+// Joins errors, one per line, into the failure that the caller returns.
+tl::unexpected<Error> faultsFound(const std::vector<std::string> &errors);
+std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error);
 
 template <typename Settings>
 Reader<Settings> address(std::function<std::string &(Settings &)> field)
 {
     return [field](Settings &settings, const std::string &text) -> std::string {
         if (!isAddress(text)) {
-            return "give an IP number such as 10.0.0.7";
+            return "give an IP address such as 10.0.0.7";
         }
         field(settings) = text;
         return {};
@@ -91,26 +91,26 @@
 }
 
 template <typename Settings>
-Reader<Settings> duration(std::function<Milliseconds &(Settings &)> field, std::uint64_t most)
+Reader<Settings> duration(std::function<Milliseconds &(Settings &)> field, std::uint64_t max)
 {
-    return [field, most](Settings &settings, const std::string &text) -> std::string {
-        const auto number = wholeNumber(text, 1, most);
+    return [field, max](Settings &settings, const std::string &text) -> std::string {
+        const auto number = wholeNumber(text, 1, max);
         if (!number) {
-            return "give milliseconds from 1 to " + std::to_string(most);
+            return "give milliseconds from 1 to " + std::to_string(max);
         }
         field(settings) = Milliseconds(*number);
         return {};
     };
 }
 
-// A time written in seconds, with fractions.
+// A duration written in seconds, with fractions.
 template <typename Settings>
-Reader<Settings> seconds(std::function<Milliseconds &(Settings &)> field, double most)
+Reader<Settings> seconds(std::function<Milliseconds &(Settings &)> field, double max)
 {
-    return [field, most](Settings &settings, const std::string &text) -> std::string {
-        const auto number = decimalNumber(text, most);
+    return [field, max](Settings &settings, const std::string &text) -> std::string {
+        const auto number = decimalNumber(text, max);
         if (!number) {
-            return "give seconds from 0 to " + std::to_string(most);
+            return "give seconds from 0 to " + std::to_string(max);
         }
         field(settings) = Milliseconds(static_cast<std::int64_t>(*number * 1000));
         return {};
@@ -118,12 +118,12 @@
 }
 
 template <typename Settings>
-Reader<Settings> fraction(std::function<double &(Settings &)> field, double most)
+Reader<Settings> fraction(std::function<double &(Settings &)> field, double max)
 {
-    return [field, most](Settings &settings, const std::string &text) -> std::string {
-        const auto number = decimalNumber(text, most);
+    return [field, max](Settings &settings, const std::string &text) -> std::string {
+        const auto number = decimalNumber(text, max);
         if (!number) {
-            return "give a number from 0 to " + std::to_string(most);
+            return "give a number from 0 to " + std::to_string(max);
         }
         field(settings) = *number;
         return {};
@@ -131,12 +131,12 @@
 }
 
 template <typename Settings>
-Reader<Settings> count(std::function<std::uint32_t &(Settings &)> field, std::uint64_t least, std::uint64_t most)
+Reader<Settings> count(std::function<std::uint32_t &(Settings &)> field, std::uint64_t min, std::uint64_t max)
 {
-    return [field, least, most](Settings &settings, const std::string &text) -> std::string {
-        const auto number = wholeNumber(text, least, most);
+    return [field, min, max](Settings &settings, const std::string &text) -> std::string {
+        const auto number = wholeNumber(text, min, max);
         if (!number) {
-            return "give a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+            return "give a whole number from " + std::to_string(min) + " to " + std::to_string(max);
         }
         field(settings) = static_cast<std::uint32_t>(*number);
         return {};
@@ -155,7 +155,7 @@
     };
 }
 
-// The text of a settings file. Invalid if it can't be read.
+// Reads the text of a settings file. Invalid if it can't be read.
 Result<std::string> readText(const std::string &path);
 
 template <typename Settings>
@@ -171,7 +171,7 @@
             required[section][name] = key.required;
         }
     }
-    auto faults = unknownOrMissing(fileName, *document, required);
+    auto errors = unknownOrMissing(fileName, *document, required);
     Settings settings;
     for (const auto &section : document->sections()) {
         const auto known = keys.find(section.name);
@@ -180,18 +180,18 @@
             if (known == keys.end() || key == known->second.end()) {
                 continue;
             }
-            if (const auto fault = key->second.read(settings, value); !fault.empty()) {
-                faults.push_back(faultText(fileName, section.name, name, value, fault));
+            if (const auto error = key->second.read(settings, value); !error.empty()) {
+                errors.push_back(faultText(fileName, section.name, name, value, error));
             }
         }
     }
-    if (!faults.empty()) {
-        return faultsFound(faults);
+    if (!errors.empty()) {
+        return faultsFound(errors);
     }
     return settings;
 }
 
-// Reads the settings in a file.
+// Parses the settings in a file.
 template <typename Settings>
 Result<Settings> readFile(const std::string &path)
 {
--- a/src/core/config/storebudget.h
+++ b/src/core/config/storebudget.h
@@ -6,9 +6,8 @@
 
 namespace Galenahill {
 
-// How often one node may call the platform's store on its own account: a token
-// bucket, and a growing jittered pause after failures. Operators' requests
-// aren't held up by it.
+// Limits the rate of a node's own calls to the platform's store: a token bucket, and exponential
+// backoff with jitter after failures. Operators' requests are not limited by it.
 class StoreBudget
 {
 public:
@@ -23,23 +22,23 @@
 
     explicit StoreBudget(Options options);
 
-    // Takes one call out of the budget and gives the time to wait before it.
+    // Reserves one call and returns the time to wait before it.
     Milliseconds reserve(TimePoint now);
 
-    // Gives the time to wait after a call that failed.
+    // Returns the time to wait after a failed call.
     Milliseconds failed();
 
     void succeeded();
 
-    // A random time of up to the one given, so that nodes that start together
-    // don't call together.
-    Milliseconds jitter(Milliseconds most);
+    // A random time up to the given one, so that nodes that start together don't call the store at
+    // the same time.
+    Milliseconds jitter(Milliseconds max);
 
 private:
     Options m_options;
     std::mt19937_64 m_random;
     double m_tokens;
-    TimePoint m_filled;
+    TimePoint m_lastRefill;
     Milliseconds m_backoff{0};
 };
 
--- a/src/core/rollouts/evidencetable.cpp
+++ b/src/core/rollouts/evidencetable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Calls above which a count is an error of its sender.
+// Highest call count that a valid report can contain.
 constexpr std::uint32_t MaxCalls = 1'000'000'000;
 
 bool inRange(const RouteCounts &counts)
@@ -20,11 +20,11 @@
     });
 }
 
-void takeHigher(RouteCounts &held, const RouteCounts &heard)
+void mergeMaximum(RouteCounts &held, const RouteCounts &reported)
 {
-    held.calls = std::max(held.calls, heard.calls);
-    held.failures = std::max(held.failures, heard.failures);
-    for (const auto &times : heard.times) {
+    held.calls = std::max(held.calls, reported.calls);
+    held.failures = std::max(held.failures, reported.failures);
+    for (const auto &times : reported.times) {
         const auto same = std::find_if(held.times.begin(), held.times.end(), [&](const TimeRange &known) { return known.range == times.range; });
         if (same == held.times.end()) {
             held.times.push_back(times);
@@ -49,12 +49,12 @@
     if (counts.report >= held.report) {
         held.report = counts.report;
         held.retired = counts.retired;
-        m_heard[source] = now;
+        m_lastReported[source] = now;
     }
     for (const auto &route : counts.routes) {
         const auto same = std::find_if(held.routes.begin(), held.routes.end(), [&](const RouteCounts &known) { return known.route == route.route; });
         if (same != held.routes.end()) {
-            takeHigher(*same, route);
+            mergeMaximum(*same, route);
         } else if (held.routes.size() < RolloutLimits::MaxRoutes) {
             held.routes.push_back(route);
         }
@@ -74,7 +74,7 @@
     for (const auto &[source, counts] : m_counts) {
         if (source.node == node && source.process >= latest) {
             latest = source.process;
-            retired = counts.retired && now - m_heard.at(source) <= RetirementBelief;
+            retired = counts.retired && now - m_lastReported.at(source) <= RetirementBelief;
         }
     }
     return retired;
--- a/src/core/rollouts/evidencetable.h
+++ b/src/core/rollouts/evidencetable.h
@@ -8,12 +8,12 @@
 
 namespace Galenahill {
 
-// The counts of all targets of one service since one order, by node and process.
-// Reports may come late, twice and out of order: each count keeps its highest value.
+// The call counts of all targets of one service since a rollout spec was created, by node and
+// process. Reports may arrive late, twice and out of order, so each count keeps its highest value.
 class EvidenceTable
 {
 public:
-    // One process of the node beside a target, with one version of the target.
+    // One process of the node beside a target, together with one version of that target.
     struct Source
     {
         NodeName node;
@@ -23,18 +23,19 @@
         friend auto operator<=>(const Source &, const Source &) = default;
     };
 
-    // Takes a report over; false if it is out of range.
+    // Merges a report; returns false if it is out of range or the table is full.
     bool merge(const TargetCounts &counts, TimePoint now);
 
     const std::map<Source, TargetCounts> &all() const;
 
-    // Whether the node's present process said so lately that its target is retired.
+    // Whether the node's latest process reported within RetirementValidity that its target is
+    // retired.
     bool isRetired(const NodeName &node, TimePoint now) const;
 
 private:
     std::map<Source, TargetCounts> m_counts;
-    // When the last report of each came.
-    std::map<Source, TimePoint> m_heard;
+    // Time of the latest report from each source.
+    std::map<Source, TimePoint> m_lastReported;
 };
 
 }
--- a/src/core/rollouts/rolloutcontrol.cpp
+++ b/src/core/rollouts/rolloutcontrol.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-// Time that each judge leaves to those before it to write an end to the store, and
-// time until it tries again.
+// Delay per rank before an evaluator writes a stage, so that usually only one of them does, and the
+// interval between its attempts.
 constexpr Milliseconds WriteStagger{400};
 constexpr Milliseconds WriteRetry{1000};
 
-// A node that is up so long knows the versions of all targets.
-constexpr Milliseconds KnowsFleetAfter{10000};
+// Uptime after which a node has learnt the versions of all targets through gossip.
+constexpr Milliseconds FleetKnownAfter{10000};
 
 }
 
@@ -34,27 +34,27 @@
     TimePoint started;
     std::map<ServiceName, RolloutEntry> entries;
     std::map<ServiceName, TimePoint> nextWrite;
-    TargetVersion ownVersion;
+    TargetVersion localVersion;
     TimePoint warmFrom;
-    TargetCounts own;
-    // Until when the own target gets no calls though the rollout was cut off.
-    TimePoint promisedUntil;
+    TargetCounts localCounts;
+    // Until when the local target gets no calls even if the rollout has been cut off.
+    TimePoint retiredUntil;
     TimePoint lastReport;
     std::uint64_t dropped = 0;
 
     SharePlan::Options planOptions() const;
     RolloutEntry *entry(const ServiceName &service);
-    void begin(RolloutRecord record, bool awaitsEvidence, const std::string &why, TimePoint now);
+    void begin(RolloutRecord record, bool awaitsPeerRecords, const std::string &why, TimePoint now);
     void changed(const RolloutEntry &entry, const std::string &why, TimePoint now);
     void receiveRecord(const RolloutRecord &record, TimePoint now);
     void receiveCounts(const TargetCounts &counts, TimePoint now);
-    void countFor(const RolloutEntry &entry);
+    void resetCountsFor(const RolloutEntry &entry);
     RolloutReport records(TimePoint now) const;
-    void judgeAll(TimePoint now);
+    void evaluateAll(TimePoint now);
     void report(TimePoint now);
-    void reportStages(TimePoint now);
-    void reportCounts(const RolloutEntry &entry, TimePoint now);
-    void tellAll(const RolloutEntry &entry, TimePoint now);
+    void sendStages(TimePoint now);
+    void sendCounts(const RolloutEntry &entry, TimePoint now);
+    void broadcast(const RolloutEntry &entry, TimePoint now);
 };
 
 RolloutControl::RolloutControl(Options options)
@@ -80,8 +80,8 @@
     options.changed(entry.record(now), why);
 }
 
-// An order takes the place of any earlier one for the same service.
-void RolloutControl::Private::begin(RolloutRecord record, bool awaitsEvidence, const std::string &why, TimePoint now)
+// A spec replaces any earlier one for the same service.
+void RolloutControl::Private::begin(RolloutRecord record, bool awaitsPeerRecords, const std::string &why, TimePoint now)
 {
     const auto service = record.order.service;
     if (entries.size() >= RolloutLimits::MaxServices && !entries.contains(service)) {
@@ -89,7 +89,7 @@
         return;
     }
     const auto at = entries.insert_or_assign(service, RolloutEntry(std::move(record), planOptions(), now)).first;
-    if (awaitsEvidence) {
+    if (awaitsPeerRecords) {
         at->second.awaitEvidence();
     }
     nextWrite.erase(service);
@@ -104,7 +104,7 @@
 
 void RolloutControl::setOwnVersion(const TargetVersion &version, TimePoint warmFrom)
 {
-    d->ownVersion = version;
+    d->localVersion = version;
     d->warmFrom = warmFrom;
 }
 
@@ -113,7 +113,7 @@
     auto *known = d->entry(stored.order.service);
     if (known != nullptr && known->order() == stored.order) {
         if (known->takeStored(stored.version, stored.stage, now)) {
-            d->changed(*known, "so the store says", now);
+            d->changed(*known, "read from the store", now);
         }
         return;
     }
@@ -123,14 +123,14 @@
     }
     const bool ended = stored.stage && isFinal(*stored.stage);
     RolloutRecord record{.order = stored.order, .seen = stored.version, .stage = ended ? *stored.stage : RolloutStage::Running};
-    d->begin(record, listed && stored.stage == RolloutStage::Running, ended ? "it had ended before" : "the operator ordered it", now);
+    d->begin(record, listed && stored.stage == RolloutStage::Running, ended ? "the rollout had already ended" : "an operator created the rollout", now);
     auto *begun = d->entry(stored.order.service);
     if (begun == nullptr || ended) {
         return;
     }
     begun->takeStored(stored.version, stored.stage, now);
-    const auto census = VersionCensus::of(stored.order, d->peers.members());
-    if (census.others.empty() && !census.ofVersion.empty() && now - d->started >= KnowsFleetAfter) {
+    const auto targets = VersionCensus::of(stored.order, d->peers.members());
+    if (targets.others.empty() && !targets.ofVersion.empty() && now - d->started >= FleetKnownAfter) {
         begun->supposeInForce();
     }
 }
@@ -139,8 +139,8 @@
 {
     auto *known = d->entry(service);
     if (known != nullptr && !isFinal(known->stage()) && known->takeStored(known->record(now).seen, RolloutStage::RolledBack, now)) {
-        d->changed(*known, "the operator removed the order", now);
-        d->tellAll(*known, now);
+        d->changed(*known, "an operator removed the rollout", now);
+        d->broadcast(*known, now);
     }
 }
 
@@ -178,13 +178,13 @@
     auto *known = entry(record.order.service);
     const auto merged = known == nullptr ? RolloutMerge::Order : known->merge(record, now);
     if (merged == RolloutMerge::Order) {
-        begin(record, false, "another node told it", now);
+        begin(record, false, "reported by another node", now);
     } else if (merged == RolloutMerge::Stage) {
-        changed(*known, "another node told it", now);
+        changed(*known, "reported by another node", now);
     }
 }
 
-// Only the node beside a target may count for it.
+// Only the node beside a target may report its call counts.
 void RolloutControl::Private::receiveCounts(const TargetCounts &counts, TimePoint now)
 {
     auto *known = entry(counts.service);
@@ -195,24 +195,24 @@
     }
 }
 
-// Counts begin anew with an order, and with another version of the own target.
-void RolloutControl::Private::countFor(const RolloutEntry &entry)
+// The counts start from zero with a new spec and when the version of the local target changes.
+void RolloutControl::Private::resetCountsFor(const RolloutEntry &entry)
 {
-    const auto &order = entry.order();
-    if (own.order == order.created && own.service == order.service && own.version == ownVersion) {
+    const auto &spec = entry.order();
+    if (localCounts.order == spec.created && localCounts.service == spec.service && localCounts.version == localVersion) {
         return;
     }
-    own = {.node = options.self.name, .process = options.self.incarnation, .service = order.service, .version = ownVersion, .order = order.created};
+    localCounts = {.node = options.self.name, .process = options.self.incarnation, .service = spec.service, .version = localVersion, .order = spec.created};
 }
 
-void RolloutControl::callEnded(const RouteName &route, TargetEnd end, Milliseconds time, TimePoint now)
+void RolloutControl::callEnded(const RouteName &route, TargetEnd result, Milliseconds time, TimePoint now)
 {
     const auto *known = d->entry(d->options.self.service);
-    if (known == nullptr || known->stage() >= RolloutStage::CutOff || d->ownVersion.value().empty()) {
+    if (known == nullptr || known->stage() >= RolloutStage::CutOff || d->localVersion.value().empty()) {
         return;
     }
-    d->countFor(*known);
-    auto &routes = d->own.routes;
+    d->resetCountsFor(*known);
+    auto &routes = d->localCounts.routes;
     auto counts = std::find_if(routes.begin(), routes.end(), [&](const RouteCounts &item) { return item.route == route; });
     if (counts == routes.end()) {
         if (routes.size() >= RolloutLimits::MaxRoutes) {
@@ -220,25 +220,26 @@
         }
         counts = routes.insert(routes.end(), RouteCounts{.route = route});
     }
-    counts->add(end, time, now >= d->warmFrom);
+    counts->add(result, time, now >= d->warmFrom);
 }
 
-void RolloutControl::Private::judgeAll(TimePoint now)
+void RolloutControl::Private::evaluateAll(TimePoint now)
 {
     for (auto &[service, entry] : entries) {
         if (entry.judge(VersionCensus::of(entry.order(), peers.members()), now)) {
             changed(entry, entry.record(now).reason, now);
-            tellAll(entry, now);
+            broadcast(entry, now);
         }
     }
 }
 
-// A cut-off must be known at once, and a promotion by all at the same time.
-void RolloutControl::Private::tellAll(const RolloutEntry &entry, TimePoint now)
+// Notifies all members directly: a cut-off has to take effect without delay, and a promotion
+// everywhere at the same time.
+void RolloutControl::Private::broadcast(const RolloutEntry &entry, TimePoint now)
 {
-    const RolloutReport news{.records = {entry.record(now)}};
+    const RolloutReport update{.records = {entry.record(now)}};
     for (const auto &peer : peers.others()) {
-        options.send(peer, news);
+        options.send(peer, update);
     }
 }
 
@@ -253,7 +254,7 @@
     return report;
 }
 
-void RolloutControl::Private::reportStages(TimePoint now)
+void RolloutControl::Private::sendStages(TimePoint now)
 {
     const auto report = records(now);
     for (std::size_t i = 0; i < options.fanOut && !report.records.empty(); ++i) {
@@ -263,22 +264,22 @@
     }
 }
 
-void RolloutControl::Private::reportCounts(const RolloutEntry &entry, TimePoint now)
+void RolloutControl::Private::sendCounts(const RolloutEntry &entry, TimePoint now)
 {
-    if (entry.stage() >= RolloutStage::CutOff || ownVersion.value().empty()) {
+    if (entry.stage() >= RolloutStage::CutOff || localVersion.value().empty()) {
         return;
     }
-    countFor(entry);
-    ++own.report;
+    resetCountsFor(entry);
+    ++localCounts.report;
     const auto rule = entry.rule(VersionCensus::of(entry.order(), peers.members()), now);
-    const bool replaced = rule && rule->mode == VersionRule::Mode::Only && rule->version != ownVersion;
-    own.retired = replaced && options.targetIdle();
-    promisedUntil = own.retired ? now + RetirementPromise : promisedUntil;
+    const bool replaced = rule && rule->mode == VersionRule::Mode::Only && rule->version != localVersion;
+    localCounts.retired = replaced && options.targetIdle();
+    retiredUntil = localCounts.retired ? now + RetirementPromise : retiredUntil;
     if (peers.isJudge()) {
-        receiveCounts(own, now);
+        receiveCounts(localCounts, now);
     }
     for (const auto &peer : peers.judges()) {
-        options.send(peer, {.counts = {own}});
+        options.send(peer, {.counts = {localCounts}});
     }
 }
 
@@ -290,9 +291,9 @@
         return;
     }
     lastReport = now;
-    reportStages(now);
+    sendStages(now);
     if (const auto *known = entry(options.self.service)) {
-        reportCounts(*known, now);
+        sendCounts(*known, now);
     }
 }
 
@@ -306,7 +307,7 @@
     }
     d->report(now);
     if (d->peers.isJudge()) {
-        d->judgeAll(now);
+        d->evaluateAll(now);
     }
 }
 
@@ -328,7 +329,7 @@
         return std::nullopt;
     }
     auto rule = known->rule(VersionCensus::of(known->order(), d->peers.members()), now);
-    if (rule && known->stage() == RolloutStage::CutOff && now < d->promisedUntil) {
+    if (rule && known->stage() == RolloutStage::CutOff && now < d->retiredUntil) {
         rule->mode = VersionRule::Mode::Only;
     }
     return rule;
@@ -370,7 +371,7 @@
     auto *known = d->entry(write.order.service);
     if (known != nullptr && known->order() == write.order && known->takeStored(version, write.stage, now)) {
         d->changed(*known, "written to the store", now);
-        d->tellAll(*known, now);
+        d->broadcast(*known, now);
     }
 }
 
--- a/src/core/rollouts/rolloutcontrol.h
+++ b/src/core/rollouts/rolloutcontrol.h
@@ -15,17 +15,17 @@
 
 namespace Galenahill {
 
-// An order as it lies in the store, with what the store holds of its end.
+// A rollout spec as read from the store, with the stage that the store holds.
 struct StoredRollout
 {
     RolloutOrder order;
     // The store's version of the object.
     ObjectVersion version;
-    // Stage in the store: Running, RolledBack or Succeeded; none: not begun.
+    // Stage in the store: Running, RolledBack or Succeeded; none if no stage has been written yet.
     std::optional<RolloutStage> stage;
 };
 
-// A stage that has to be written to the store, if it still has that version.
+// A stage to write to the store, provided that the object still has the expected version.
 struct RolloutWrite
 {
     RolloutOrder order;
@@ -34,14 +34,15 @@
     std::string reason;
 };
 
-// Carries out operators' orders to move a service's calls to another version of its
-// targets: shares, comparison, cut-off, promotion and the end in the store.
+// Carries out rollouts, which move a service's calls to another version of its targets: traffic
+// shares, comparison with the old version, cut-off, promotion, and writing the final stage to the
+// store.
 //
-// Every node keeps the shares and counts its own target's answers. A few of each data
-// centre, the judges, get all counts, and follow and write the store; any of them may
-// decide, and what they decide differently is settled by the stages' order and by the
-// store's conditional write. Single-threaded; time comes in through arguments, and
-// datagrams leave through a hook.
+// Every node applies the shares and counts the responses of its local target. A few nodes of each
+// data centre, the evaluators, receive all counts, watch the specs in the store and write the
+// stages there. Any of them may decide; conflicting decisions are resolved by the order of the
+// stages and by the store's conditional write. Single-threaded; time comes in through arguments,
+// and datagrams leave through a callback.
 class RolloutControl
 {
 public:
@@ -49,72 +50,72 @@
     {
         MemberRecord self;
         std::uint64_t seed = 1;
-        // Share of a service's calls that a bad version may get.
+        // Largest share of a service's calls that a bad version may get.
         double exposureShare = 0.1;
-        // Time between two reports to other nodes while a rollout goes on, and
-        // afterwards.
+        // Interval of reports to other nodes while a rollout is active, and afterwards.
         Milliseconds reportInterval{200};
         Milliseconds restInterval{2000};
-        // Members that get each report of the stages.
+        // Number of members that each report of the stages is sent to.
         std::size_t fanOut = 2;
 
         std::function<void(const Endpoint &to, const RolloutReport &report)> send;
-        // Whether no call runs at the own target, and none waits there.
+        // Whether the local target runs no calls and none is queued for it.
         std::function<bool()> targetIdle;
-        // An order was taken up or is at another stage; says why.
+        // Called with the reason when a rollout starts or reaches another stage.
         std::function<void(const RolloutRecord &record, const std::string &why)> changed;
     };
 
     explicit RolloutControl(Options options);
     ~RolloutControl();
 
-    // All members that aren't gone, with this one.
+    // Sets all members that aren't gone, including this one.
     void setMembers(const std::vector<MemberRecord> &members, TimePoint now);
 
-    // Version of the own target, and until when it is slow after its start.
+    // Sets the version of the local target, and the time from which it is warm; until then its
+    // latencies aren't counted.
     void setOwnVersion(const TargetVersion &version, TimePoint warmFrom);
 
-    // An order was read from the store: in a list of all, or as a change.
+    // A spec was read from the store, either in a list of all or as a change.
     void orderRead(const StoredRollout &stored, bool listed, TimePoint now);
 
-    // The operator removed the order for that service.
+    // An operator removed the rollout of that service.
     void orderRemoved(const ServiceName &service, TimePoint now);
 
-    // All orders in the store at that version; the others were removed.
+    // The services of all specs in the store at that version; rollouts of other services were
+    // removed.
     void ordersListed(const std::vector<ServiceName> &services, ObjectVersion version, TimePoint now);
 
-    // A report of another node came.
+    // Handles a report from another node.
     void receive(const Endpoint &from, const RolloutReport &report, TimePoint now);
 
-    // The own target ended a call of the route after that time.
-    void callEnded(const RouteName &route, TargetEnd end, Milliseconds time, TimePoint now);
+    // The local target finished a call of the route with that latency.
+    void callEnded(const RouteName &route, TargetEnd result, Milliseconds time, TimePoint now);
 
-    // Does what is due; call it every 100 ms.
+    // Sends reports and evaluates the rollouts when due; call it every 100 ms.
     void tick(TimePoint now);
 
-    // What the rollouts say of each service's targets now.
+    // The rules that the rollouts currently impose on the targets of each service.
     VersionRules rules(TimePoint now) const;
 
-    // The same for the own target. It keeps what this node promised to the judges,
-    // unless the store holds the end.
+    // The rule for the local target. It keeps the retirement lease that this node has reported to
+    // the evaluators, unless the store holds the final stage.
     std::optional<VersionRule> ownRule(TimePoint now) const;
 
-    // Whether this node follows the store's orders and writes their ends.
+    // Whether this node watches the specs in the store and writes the stages.
     bool isJudge() const;
 
-    // What this node has to write now; each write is given out once a second until
-    // it is answered by `written` or by a stored order.
+    // Stages that this node has to write now. Each is returned once a second until `written` is
+    // called for it or the stage is read from the store.
     std::vector<RolloutWrite> dueWrites(TimePoint now);
 
-    // A write was done.
+    // A write to the store succeeded.
     void written(const RolloutWrite &write, ObjectVersion version, TimePoint now);
 
-    // Reports, and parts of reports, that were dropped: from an unknown sender, of an
-    // unknown node, or out of range.
+    // Number of reports, and of entries in reports, that were dropped because the sender or the
+    // node is unknown or a value is out of range.
     std::uint64_t dropped() const;
 
-    // The rollouts that this node knows, and the scores of their tests; for the log
-    // and the metrics.
+    // The known rollouts and the scores of their statistical tests, for the log and the metrics.
     struct Status
     {
         RolloutRecord record;
--- a/src/core/rollouts/rolloutentry.cpp
+++ b/src/core/rollouts/rolloutentry.cpp
@@ -10,35 +10,36 @@
 
 namespace {
 
-// Time between two looks at the evidence.
-constexpr Milliseconds ObserveInterval{500};
+// Interval at which the call counts are evaluated.
+constexpr Milliseconds EvaluationInterval{500};
 
-// Time to wait for the records of other nodes about an order that is found begun.
-constexpr Milliseconds EvidenceWait{2000};
+// Time to wait for the records of other nodes about a rollout that had already started.
+constexpr Milliseconds PeerRecordsWait{2000};
 
 // Time for a cut-off to reach the other nodes before it is written to the store.
-constexpr Milliseconds CutOffSpread{300};
+constexpr Milliseconds CutOffPropagation{300};
 
-// Time for which reports of an order that has ended stay frequent.
-constexpr Milliseconds EndSpread{3000};
+// Time after the end of a rollout for which its reports stay frequent.
+constexpr Milliseconds EndPropagation{3000};
 
-// Time after a success in which the old targets, which the platform stops, get no calls.
-constexpr Milliseconds OldTargetsStop{10000};
+// Time after a success during which the old targets, which the platform stops, get no calls.
+constexpr Milliseconds OldTargetsStopTime{10000};
 
-// Calls of the version without which it isn't promoted.
-constexpr std::uint64_t LeastCalls = 20;
+// Minimum number of calls to the new version before it can be promoted.
+constexpr std::uint64_t MinCalls = 20;
 
-// Share of the convicting score at which a version isn't promoted.
-constexpr double DoubtfulShare = 0.5;
+// Fraction of the rejection threshold from which on a score prevents the promotion.
+constexpr double DoubtfulScoreRatio = 0.5;
 
-// Least targets of the version, as a share of the others, to begin a promotion and to go
-// on with it. The second is lower, so that a mass failure of both versions undoes nothing.
-constexpr double LeastTargets = 0.5;
-constexpr double LeastTargetsLeft = 0.25;
+// Minimum number of targets of the new version, relative to the others, to start a promotion and to
+// continue it. The second is lower so that a mass failure of both versions does not revert a
+// promotion.
+constexpr double MinTargetRatio = 0.5;
+constexpr double MinRemainingTargetRatio = 0.25;
 
-double targetShare(const VersionCensus &census)
+double targetRatio(const VersionCensus &targets)
 {
-    return static_cast<double>(census.ofVersion.size()) / static_cast<double>(std::max<std::size_t>(census.othersReady, 1));
+    return static_cast<double>(targets.ofVersion.size()) / static_cast<double>(std::max<std::size_t>(targets.othersReady, 1));
 }
 
 }
@@ -47,22 +48,22 @@
     : m_record(std::move(record))
     , m_plan(plan)
     , m_begun(now - Milliseconds(m_record.ageMs))
-    , m_since(now)
+    , m_stageSince(now)
     , m_test({.version = m_record.order.version})
 {
 }
 
 void RolloutEntry::awaitEvidence()
 {
-    m_awaitsEvidence = true;
+    m_awaitsPeerRecords = true;
 }
 
 void RolloutEntry::tick(TimePoint now)
 {
-    if (m_awaitsEvidence && now - m_since >= EvidenceWait) {
-        m_awaitsEvidence = false;
+    if (m_awaitsPeerRecords && now - m_stageSince >= PeerRecordsWait) {
+        m_awaitsPeerRecords = false;
         m_begun = now;
-        m_since = now;
+        m_stageSince = now;
     }
 }
 
@@ -101,12 +102,12 @@
 
 bool RolloutEntry::isActive(TimePoint now) const
 {
-    return !isFinal(stage()) || now - m_since < EndSpread;
+    return !isFinal(stage()) || now - m_stageSince < EndPropagation;
 }
 
 bool RolloutEntry::isCertain() const
 {
-    return !m_awaitsEvidence;
+    return !m_awaitsPeerRecords;
 }
 
 bool RolloutEntry::moveTo(RolloutStage stage, std::string reason, TimePoint now)
@@ -121,32 +122,32 @@
     if (stage == RolloutStage::Promoting) {
         m_record.promotedAtMs = m_record.ageMs;
     }
-    m_since = now;
-    m_awaitsEvidence = false;
+    m_stageSince = now;
+    m_awaitsPeerRecords = false;
     return true;
 }
 
-RolloutMerge RolloutEntry::merge(const RolloutRecord &heard, TimePoint now)
+RolloutMerge RolloutEntry::merge(const RolloutRecord &remote, TimePoint now)
 {
-    auto own = record(now);
-    const auto merged = mergeRollout(own, heard);
+    auto local = record(now);
+    const auto merged = mergeRollout(local, remote);
     if (merged == RolloutMerge::Order) {
         return merged;
     }
-    if (heard.order == own.order) {
-        m_awaitsEvidence = false;
+    if (remote.order == local.order) {
+        m_awaitsPeerRecords = false;
     }
-    m_begun = std::min<TimePoint>(m_begun, now - Milliseconds(own.ageMs));
-    m_record = std::move(own);
+    m_begun = std::min<TimePoint>(m_begun, now - Milliseconds(local.ageMs));
+    m_record = std::move(local);
     if (merged == RolloutMerge::Stage) {
-        m_since = now;
+        m_stageSince = now;
     }
     return merged;
 }
 
 bool RolloutEntry::merge(const TargetCounts &counts, TimePoint now)
 {
-    return m_evidence.merge(counts, now);
+    return m_counts.merge(counts, now);
 }
 
 bool RolloutEntry::takeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now)
@@ -164,83 +165,85 @@
     return moveTo(RolloutStage::CutOff, std::move(reason), now);
 }
 
-bool RolloutEntry::judge(const VersionCensus &census, TimePoint now)
+bool RolloutEntry::judge(const VersionCensus &targets, TimePoint now)
 {
-    const bool decided = m_awaitsEvidence || m_inForce || stage() >= RolloutStage::CutOff;
-    if (decided || now - m_lastObserved < ObserveInterval) {
+    const bool decided = m_awaitsPeerRecords || m_inForce || stage() >= RolloutStage::CutOff;
+    if (decided || now - m_lastObserved < EvaluationInterval) {
         return false;
     }
     m_lastObserved = now;
-    if (stage() == RolloutStage::Promoting && targetShare(census) < LeastTargetsLeft) {
-        return cutOff("too few targets of the version are left to take all calls", now);
+    if (stage() == RolloutStage::Promoting && targetRatio(targets) < MinRemainingTargetRatio) {
+        return cutOff("too few targets of the new version are left to run all calls", now);
     }
-    m_test.observe(m_evidence, now);
+    m_test.observe(m_counts, now);
     if (m_test.convicts()) {
-        const auto *what = m_test.failureScore() > m_test.slownessScore() ? "fails more than" : "is slower than";
-        return cutOff(fmt::format("it {} the other targets: {}", what, m_test.summary()), now);
+        const auto *finding = m_test.failureScore() > m_test.slownessScore() ? "fails more often than" : "is slower than";
+        return cutOff(fmt::format("the new version {} the other targets: {}", finding, m_test.summary()), now);
     }
     const auto current = record(now);
     if (m_plan.isTooLate(current)) {
-        const auto *why = census.ofVersion.empty() ? "no target of the version takes calls" : "too little is known of it to promote it in time";
-        return cutOff(fmt::format("{}: {}", why, m_test.summary()), now);
+        const auto *cause
+            = targets.ofVersion.empty() ? "no target of the version accepts calls" : "the comparison wasn't conclusive enough to promote it in time";
+        return cutOff(fmt::format("{}: {}", cause, m_test.summary()), now);
     }
-    return m_plan.mayPromote(current) && isProven(census) && moveTo(RolloutStage::Promoting, m_test.summary(), now);
+    return m_plan.mayPromote(current) && isReadyToPromote(targets) && moveTo(RolloutStage::Promoting, m_test.summary(), now);
 }
 
-bool RolloutEntry::isProven(const VersionCensus &census) const
+bool RolloutEntry::isReadyToPromote(const VersionCensus &targets) const
 {
     const bool proven
-        = m_test.calls() >= LeastCalls && std::max(m_test.failureScore(), m_test.slownessScore()) < DoubtfulShare * VersionTest::Options().threshold;
-    return proven && !census.ofVersion.empty() && targetShare(census) >= LeastTargets;
+        = m_test.calls() >= MinCalls && std::max(m_test.failureScore(), m_test.slownessScore()) < DoubtfulScoreRatio * VersionTest::Options().threshold;
+    return proven && !targets.ofVersion.empty() && targetRatio(targets) >= MinTargetRatio;
 }
 
-bool RolloutEntry::othersRetired(const VersionCensus &census, TimePoint now) const
+bool RolloutEntry::othersRetired(const VersionCensus &targets, TimePoint now) const
 {
-    return std::all_of(census.others.begin(), census.others.end(), [&](const NodeName &node) { return m_evidence.isRetired(node, now); });
+    return std::all_of(targets.others.begin(), targets.others.end(), [&](const NodeName &node) { return m_counts.isRetired(node, now); });
 }
 
-std::optional<RolloutStage> RolloutEntry::wantedInStore(const VersionCensus &census, TimePoint now) const
+std::optional<RolloutStage> RolloutEntry::wantedInStore(const VersionCensus &targets, TimePoint now) const
 {
     auto wanted = RolloutStage::Running;
-    if (m_awaitsEvidence || isFinal(stage())) {
+    if (m_awaitsPeerRecords || isFinal(stage())) {
         return std::nullopt;
     }
     if (stage() == RolloutStage::CutOff) {
-        if (now - m_since < CutOffSpread) {
+        if (now - m_stageSince < CutOffPropagation) {
             return std::nullopt;
         }
         wanted = RolloutStage::RolledBack;
-    } else if (m_inForce || (m_plan.takesAll(record(now)) && othersRetired(census, now))) {
+    } else if (m_inForce || (m_plan.takesAll(record(now)) && othersRetired(targets, now))) {
         wanted = RolloutStage::Succeeded;
     }
     return m_stored == wanted ? std::nullopt : std::optional(wanted);
 }
 
-// The same at every node that knows the same members: those first in rendezvous order.
-std::vector<NodeName> RolloutEntry::loadedTargets(const SharePlan::Step &step, const VersionCensus &census) const
+// Selects targets by rendezvous hashing, so that all nodes that know the same members select the
+// same ones.
+std::vector<NodeName> RolloutEntry::loadPhaseTargets(const SharePlan::Step &step, const VersionCensus &targets) const
 {
     if (step.targets == 0) {
         return {};
     }
-    auto targets = census.ofVersion;
+    auto selected = targets.ofVersion;
     const auto weight = [&](const NodeName &node) {
         const auto text = fmt::format("{}/{}/{}", m_record.order.created.value(), step.spell, node.value());
         return XXH3_64bits(text.data(), text.size());
     };
-    std::sort(targets.begin(), targets.end(), [&](const NodeName &left, const NodeName &right) { return weight(left) > weight(right); });
-    targets.resize(std::min(targets.size(), step.targets));
-    return targets;
+    std::sort(selected.begin(), selected.end(), [&](const NodeName &left, const NodeName &right) { return weight(left) > weight(right); });
+    selected.resize(std::min(selected.size(), step.targets));
+    return selected;
 }
 
-std::optional<VersionRule> RolloutEntry::rule(const VersionCensus &census, TimePoint now) const
+std::optional<VersionRule> RolloutEntry::rule(const VersionCensus &targets, TimePoint now) const
 {
     using Mode = VersionRule::Mode;
     VersionRule rule{.version = m_record.order.version};
-    if (m_awaitsEvidence || stage() == RolloutStage::CutOff || stage() == RolloutStage::RolledBack) {
+    if (m_awaitsPeerRecords || stage() == RolloutStage::CutOff || stage() == RolloutStage::RolledBack) {
         rule.mode = Mode::Excluded;
         return rule;
     }
-    const bool over = stage() == RolloutStage::Succeeded && now - m_since >= OldTargetsStop;
+    const bool over = stage() == RolloutStage::Succeeded && now - m_stageSince >= OldTargetsStopTime;
     if (over || m_inForce) {
         return std::nullopt;
     }
@@ -250,7 +253,7 @@
         return rule;
     }
     rule.share = step.share;
-    rule.targets = loadedTargets(step, census);
+    rule.targets = loadPhaseTargets(step, targets);
     return rule;
 }
 
--- a/src/core/rollouts/rolloutentry.h
+++ b/src/core/rollouts/rolloutentry.h
@@ -11,72 +11,72 @@
 
 namespace Galenahill {
 
-// One order, how far it is, and the evidence about its version.
+// One rollout: its spec, its stage, and the call counts by which its version is judged.
 class RolloutEntry
 {
 public:
-    // What is known of the order at that moment.
+    // Starts with what is known about the rollout at that time.
     RolloutEntry(RolloutRecord record, SharePlan::Options plan, TimePoint now);
 
-    // An order that had begun before this node heard of it. Its version gets no calls
-    // until another node tells what it knows.
+    // Marks a rollout that had started before this node learnt of it. Its version gets no calls
+    // until another node reports its record.
     void awaitEvidence();
 
-    // Begins anew if no node has told in time: all were restarted. The plan of shares
-    // leaves room for that.
+    // Restarts the rollout if no node has reported its record in time, which means that all nodes
+    // were restarted. The share plan leaves room for that.
     void tick(TimePoint now);
 
-    // All targets have the version: there is nothing to move.
+    // All targets already have the version, so there are no calls to move.
     void supposeInForce();
 
-    // The record with the age that it has now.
+    // The record with its current age.
     RolloutRecord record(TimePoint now) const;
     const RolloutOrder &order() const;
     RolloutStage stage() const;
     SharePlan::Step step(TimePoint now) const;
 
-    // Whether reports of this order still tell anything new.
+    // Whether reports of this rollout may still contain something new.
     bool isActive(TimePoint now) const;
 
-    // Whether other nodes may be told: not of one whose evidence is awaited.
+    // Whether the record may be reported to other nodes; false while it waits for their records.
     bool isCertain() const;
 
-    // Takes over what another node tells. Of another, later order nothing is taken;
-    // the caller replaces the entry.
-    RolloutMerge merge(const RolloutRecord &heard, TimePoint now);
+    // Merges a record of another node. If it belongs to a later spec, nothing is merged and the
+    // caller replaces the entry.
+    RolloutMerge merge(const RolloutRecord &remote, TimePoint now);
     bool merge(const TargetCounts &counts, TimePoint now);
 
-    // Takes over what the store holds; says whether the stage changed.
+    // Merges what the store holds; returns whether the stage changed.
     bool takeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now);
 
-    // The version gets no more calls.
+    // Stops all calls to the version.
     bool cutOff(std::string reason, TimePoint now);
 
-    // Looks at the evidence, and moves on if it is time to; says whether it did.
-    bool judge(const VersionCensus &census, TimePoint now);
+    // Evaluates the call counts and advances the stage if that is due; returns whether it did.
+    bool judge(const VersionCensus &targets, TimePoint now);
 
-    // The stage that the store should hold, if it holds another.
-    std::optional<RolloutStage> wantedInStore(const VersionCensus &census, TimePoint now) const;
+    // The stage that has to be written to the store; none if the store holds it already.
+    std::optional<RolloutStage> wantedInStore(const VersionCensus &targets, TimePoint now) const;
 
-    std::optional<VersionRule> rule(const VersionCensus &census, TimePoint now) const;
+    std::optional<VersionRule> rule(const VersionCensus &targets, TimePoint now) const;
 
     const VersionTest &test() const;
 
 private:
     bool moveTo(RolloutStage stage, std::string reason, TimePoint now);
-    bool isProven(const VersionCensus &census) const;
-    bool othersRetired(const VersionCensus &census, TimePoint now) const;
-    std::vector<NodeName> loadedTargets(const SharePlan::Step &step, const VersionCensus &census) const;
+    bool isReadyToPromote(const VersionCensus &targets) const;
+    bool othersRetired(const VersionCensus &targets, TimePoint now) const;
+    std::vector<NodeName> loadPhaseTargets(const SharePlan::Step &step, const VersionCensus &targets) const;
 
     RolloutRecord m_record;
     SharePlan m_plan;
     TimePoint m_begun;
-    TimePoint m_since;
+    TimePoint m_stageSince;
     TimePoint m_lastObserved;
-    bool m_awaitsEvidence = false;
+    bool m_awaitsPeerRecords = false;
     bool m_inForce = false;
     std::optional<RolloutStage> m_stored;
-    EvidenceTable m_evidence;
+    EvidenceTable m_counts;
     VersionTest m_test;
 };
 
--- a/src/core/rollouts/rolloutpeers.cpp
+++ b/src/core/rollouts/rolloutpeers.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr const char *JudgeRole = "rollouts";
+constexpr const char *EvaluatorRole = "rollouts";
 
-// Judges of each data centre: one may be gone without anybody having noticed yet.
-constexpr std::size_t JudgesPerDataCentre = 2;
+// Evaluators in each data centre: one may have failed without being detected yet.
+constexpr std::size_t EvaluatorsPerDataCentre = 2;
 
-// Of this many reports of stages, one goes to another data centre.
-constexpr int NearReports = 4;
+// One in this many reports of stages goes to a remote data centre.
+constexpr int ReportsPerRemoteReport = 4;
 
 }
 
@@ -28,27 +28,27 @@
     m_services.clear();
     m_senders.clear();
     m_others.clear();
-    m_near.clear();
-    m_far.clear();
-    m_judges.clear();
-    m_isJudge = holdsRole(JudgeRole, JudgesPerDataCentre, m_self, members);
-    std::vector<MemberRecord> judges;
+    m_local.clear();
+    m_remote.clear();
+    m_evaluators.clear();
+    m_isEvaluator = holdsRole(EvaluatorRole, EvaluatorsPerDataCentre, m_self, members);
+    std::vector<MemberRecord> allEvaluators;
     for (const auto &member : members) {
         m_services.emplace(member.name, member.service);
-        if (holdsRole(JudgeRole, JudgesPerDataCentre, member, members) && member.state <= MemberState::Draining) {
-            judges.push_back(member);
+        if (holdsRole(EvaluatorRole, EvaluatorsPerDataCentre, member, members) && member.state <= MemberState::Draining) {
+            allEvaluators.push_back(member);
         }
         if (member.name == m_self.name) {
             continue;
         }
         m_senders.emplace(toString(member.control()), member.name);
         m_others.push_back(member.control());
-        (member.dataCentre == m_self.dataCentre ? m_near : m_far).push_back(member.control());
+        (member.dataCentre == m_self.dataCentre ? m_local : m_remote).push_back(member.control());
     }
-    m_rank = rankOf(JudgeRole, m_self, judges);
-    for (const auto &member : judges) {
+    m_rank = rankOf(EvaluatorRole, m_self, allEvaluators);
+    for (const auto &member : allEvaluators) {
         if (member.name != m_self.name) {
-            m_judges.push_back(member.control());
+            m_evaluators.push_back(member.control());
         }
     }
 }
@@ -71,7 +71,7 @@
 
 bool RolloutPeers::isJudge() const
 {
-    return m_isJudge;
+    return m_isEvaluator;
 }
 
 std::size_t RolloutPeers::rank() const
@@ -81,7 +81,7 @@
 
 const std::vector<Endpoint> &RolloutPeers::judges() const
 {
-    return m_judges;
+    return m_evaluators;
 }
 
 const std::vector<Endpoint> &RolloutPeers::others() const
@@ -91,8 +91,8 @@
 
 std::optional<Endpoint> RolloutPeers::next()
 {
-    const bool goesFar = m_near.empty() || std::uniform_int_distribution<int>(0, NearReports - 1)(m_random) == 0;
-    const auto &peers = goesFar && !m_far.empty() ? m_far : m_near;
+    const bool toRemote = m_local.empty() || std::uniform_int_distribution<int>(0, ReportsPerRemoteReport - 1)(m_random) == 0;
+    const auto &peers = toRemote && !m_remote.empty() ? m_remote : m_local;
     if (peers.empty()) {
         return std::nullopt;
     }
--- a/src/core/rollouts/rolloutpeers.h
+++ b/src/core/rollouts/rolloutpeers.h
@@ -11,14 +11,14 @@
 
 namespace Galenahill {
 
-// The other members as the rollouts see them: who may report what, who is a judge, and
-// who hears of the stages next.
+// The other members in their roles for rollouts: which node may report counts of which service,
+// which are evaluators, and which member gets the next report.
 class RolloutPeers
 {
 public:
     RolloutPeers(MemberRecord self, std::uint64_t seed);
 
-    // All members that aren't gone, with this one.
+    // Sets all members that aren't gone, including this one.
     void setMembers(const std::vector<MemberRecord> &members);
 
     const std::vector<MemberRecord> &members() const;
@@ -29,15 +29,15 @@
     // Whether the node is a member of the service.
     bool serves(const NodeName &node, const ServiceName &service) const;
 
-    // Whether this node is a judge, and how many judges come before it.
+    // Whether this node is an evaluator, and how many evaluators rank before it.
     bool isJudge() const;
     std::size_t rank() const;
 
-    // The other judges, and all other members.
+    // The other evaluators, and all other members.
     const std::vector<Endpoint> &judges() const;
     const std::vector<Endpoint> &others() const;
 
-    // A random member, mostly of the own data centre; none if there is no other.
+    // A random member, usually of the local data centre; none if there are no others.
     std::optional<Endpoint> next();
 
 private:
@@ -47,10 +47,10 @@
     std::unordered_map<NodeName, ServiceName> m_services;
     std::unordered_map<std::string, NodeName> m_senders;
     std::vector<Endpoint> m_others;
-    std::vector<Endpoint> m_near;
-    std::vector<Endpoint> m_far;
-    std::vector<Endpoint> m_judges;
-    bool m_isJudge = false;
+    std::vector<Endpoint> m_local;
+    std::vector<Endpoint> m_remote;
+    std::vector<Endpoint> m_evaluators;
+    bool m_isEvaluator = false;
     std::size_t m_rank = 0;
 };
 
--- a/src/core/rollouts/rolloutrecord.cpp
+++ b/src/core/rollouts/rolloutrecord.cpp
@@ -28,36 +28,36 @@
     return stage >= RolloutStage::RolledBack;
 }
 
-RolloutMerge mergeRollout(RolloutRecord &held, const RolloutRecord &heard)
+RolloutMerge mergeRollout(RolloutRecord &local, const RolloutRecord &remote)
 {
-    if (!(heard.order == held.order)) {
-        if (heard.seen <= held.seen) {
+    if (!(remote.order == local.order)) {
+        if (remote.seen <= local.seen) {
             return RolloutMerge::Nothing;
         }
-        held = heard;
+        local = remote;
         return RolloutMerge::Order;
     }
-    held.seen = std::max(held.seen, heard.seen);
-    held.ageMs = std::max(held.ageMs, heard.ageMs);
-    if (heard.stage == RolloutStage::Promoting && held.stage == RolloutStage::Promoting) {
-        held.promotedAtMs = std::min(held.promotedAtMs, heard.promotedAtMs);
+    local.seen = std::max(local.seen, remote.seen);
+    local.ageMs = std::max(local.ageMs, remote.ageMs);
+    if (remote.stage == RolloutStage::Promoting && local.stage == RolloutStage::Promoting) {
+        local.promotedAtMs = std::min(local.promotedAtMs, remote.promotedAtMs);
     }
-    if (heard.stage <= held.stage) {
+    if (remote.stage <= local.stage) {
         return RolloutMerge::Nothing;
     }
-    held.stage = heard.stage;
-    held.promotedAtMs = heard.promotedAtMs;
-    held.reason = heard.reason;
+    local.stage = remote.stage;
+    local.promotedAtMs = remote.promotedAtMs;
+    local.reason = remote.reason;
     return RolloutMerge::Stage;
 }
 
 bool isPlausible(const RolloutRecord &record)
 {
-    const auto &order = record.order;
-    const bool named = !order.service.value().empty() && order.service.value().size() <= RolloutLimits::MaxNameBytes && !order.version.value().empty()
-        && order.version.value().size() <= RolloutLimits::MaxNameBytes;
-    const bool inTime = order.duration >= RolloutLimits::MinDuration && order.duration <= RolloutLimits::MaxDuration;
-    return named && inTime && record.stage <= RolloutStage::Succeeded && record.promotedAtMs <= record.ageMs
+    const auto &spec = record.order;
+    const bool namesValid = !spec.service.value().empty() && spec.service.value().size() <= RolloutLimits::MaxNameBytes && !spec.version.value().empty()
+        && spec.version.value().size() <= RolloutLimits::MaxNameBytes;
+    const bool durationValid = spec.duration >= RolloutLimits::MinDuration && spec.duration <= RolloutLimits::MaxDuration;
+    return namesValid && durationValid && record.stage <= RolloutStage::Succeeded && record.promotedAtMs <= record.ageMs
         && record.reason.size() <= RolloutLimits::MaxReasonBytes;
 }
 
--- a/src/core/rollouts/rolloutrecord.h
+++ b/src/core/rollouts/rolloutrecord.h
@@ -7,69 +7,68 @@
 
 namespace Galenahill {
 
-// An operator's order to move a service's calls to the targets of a version.
+// An operator's request to move a service's calls to the targets of another version.
 struct RolloutOrder
 {
     ServiceName service;
     TargetVersion version;
-    // Time in which the move, or its withdrawal, has to be done.
+    // Time within which the rollout has to succeed or be rolled back.
     Milliseconds duration{0};
-    // The store's version at which the order was created. Tells apart two orders
-    // that read alike.
+    // The store's version at which the spec was created; distinguishes two specs that are otherwise
+    // equal.
     ObjectVersion created;
 
     friend bool operator==(const RolloutOrder &, const RolloutOrder &) = default;
 };
 
-// How far a rollout is; a later stage never turns into an earlier one.
+// Stages of a rollout; a rollout never returns to an earlier one.
 enum class RolloutStage : std::uint8_t {
-    // The version gets a small share of the calls, and is compared.
+    // The version gets a small share of the calls and is compared with the others.
     Running,
-    // It passed, and its share grows up to all calls.
+    // The version passed the comparison, and its share grows up to all calls.
     Promoting,
-    // It gets no more calls.
+    // The version gets no more calls.
     CutOff,
-    // The store holds that it was withdrawn.
+    // The store holds that the rollout was rolled back.
     RolledBack,
-    // The store holds that it replaced the old version.
+    // The store holds that the version replaced the old one.
     Succeeded,
 };
 
 std::string toString(RolloutStage stage);
 
-// Whether the store holds this stage as the end of the rollout.
+// Whether the stage ends the rollout; the store holds it then.
 bool isFinal(RolloutStage stage);
 
-// What a node knows of the last order for one service.
+// What a node knows about the latest rollout of one service.
 struct RolloutRecord
 {
     RolloutOrder order;
-    // Highest version of the store at which the order was read. A later order has a
-    // higher one.
+    // Highest version of the store at which the spec was read. A later spec has a higher one.
     ObjectVersion seen;
     RolloutStage stage = RolloutStage::Running;
-    // Time since a node first read the order.
+    // Time since any node first read the spec.
     std::uint32_t ageMs = 0;
-    // The age at which the promotion began.
+    // The age at which the promotion started.
     std::uint32_t promotedAtMs = 0;
     // Why the version was cut off.
     std::string reason;
 };
 
-// What merging a record that another node told did to the own one.
+// Effect of merging another node's record into the local one.
 enum class RolloutMerge {
     Nothing,
-    // The same order is at a later stage.
+    // The same spec reached a later stage.
     Stage,
-    // It is another, later order.
+    // The record belongs to another, later spec.
     Order,
 };
 
-// Takes over what the other record knows better. Gives the same result whatever the
-// order, and however often, records are merged.
-RolloutMerge mergeRollout(RolloutRecord &held, const RolloutRecord &heard);
+// Merges another node's record into the local one. The result doesn't depend on the order in which
+// records are merged, nor on how often.
+RolloutMerge mergeRollout(RolloutRecord &local, const RolloutRecord &remote);
 
-// Whether a node can have said this: names are bounded and the times in range.
+// Whether the record is valid: names within their length limit and times in range.
 bool isPlausible(const RolloutRecord &record);
 
 template <typename Inspector>
--- a/src/core/rollouts/shareplan.cpp
+++ b/src/core/rollouts/shareplan.cpp
@@ -6,41 +6,40 @@
 
 namespace {
 
-// Parts of the order's time. The rest of it is for the last calls of the old targets
-// and for writing the end down.
-constexpr double FirstLoadBegin = 0.38;
-constexpr double SecondLoadBegin = 0.50;
-constexpr double LoadLength = 0.08;
-constexpr double PromoteFrom = 0.60;
-constexpr double PromoteUntil = 0.72;
-constexpr double PromotionStep = 0.06;
-
-// A promotion whose old targets still run calls at the end may go on so long.
-constexpr double PromotedUntil = 1.25;
-
-// Shares before the promotion, in multiples of the exposure that is allowed. Together
-// they use half of it: the rest is for calls on their way, and for bursts of calls that
-// fall into a spell of load.
+// Fractions of the rollout's duration. The remainder is for the last calls of the old targets and
+// for writing the final stage to the store.
+constexpr double FirstLoadPhaseBegin = 0.38;
+constexpr double SecondLoadPhaseBegin = 0.50;
+constexpr double LoadPhaseLength = 0.08;
+constexpr double PromotionWindowBegin = 0.60;
+constexpr double PromotionWindowEnd = 0.72;
+constexpr double PromotionStepLength = 0.06;
+
+// Limit for a promotion whose old targets still run calls at the end of the duration.
+constexpr double PromotionLimit = 1.25;
+
+// Shares before the promotion, as multiples of the allowed exposure. Together they use half of it:
+// the rest is for calls in flight and for bursts of calls during a load phase.
 constexpr double ProbeFactor = 0.2;
 constexpr double LoadFactor = 2.4;
 
-// Targets of the version that take the calls of a spell of load: few enough to be
-// filled, and more than one, since a single target convicts nobody.
-constexpr std::size_t LoadedTargets = 2;
+// Targets of the new version that run the calls of a load phase: few enough to be loaded fully, and
+// more than one because a single target never suffices to reject its version.
+constexpr std::size_t LoadPhaseTargets = 2;
 
 constexpr double FirstPromotedShare = 0.25;
 constexpr double SecondPromotedShare = 0.5;
 
-double partOf(std::uint32_t timeMs, const RolloutRecord &record)
+double fractionOf(std::uint32_t timeMs, const RolloutRecord &record)
 {
     return static_cast<double>(timeMs) / static_cast<double>(record.order.duration.count());
 }
 
-// The number of the spell of load, counted from one; zero between them.
-unsigned spellAt(double part)
+// The number of the load phase, counted from one; zero outside of them.
+unsigned loadPhaseAt(double fraction)
 {
-    const auto in = [part](double begin) { return part >= begin && part < begin + LoadLength; };
-    return in(FirstLoadBegin) ? 1 : in(SecondLoadBegin) ? 2 : 0;
+    const auto within = [fraction](double begin) { return fraction >= begin && fraction < begin + LoadPhaseLength; };
+    return within(FirstLoadPhaseBegin) ? 1 : within(SecondLoadPhaseBegin) ? 2 : 0;
 }
 
 }
@@ -54,16 +53,16 @@
 {
     switch (record.stage) {
     case RolloutStage::Running:
-        if (const auto spell = spellAt(partOf(record.ageMs, record)); spell > 0) {
-            return {.share = std::min(1.0, LoadFactor * m_options.exposureShare), .targets = LoadedTargets, .spell = spell, .name = "load"};
+        if (const auto phase = loadPhaseAt(fractionOf(record.ageMs, record)); phase > 0) {
+            return {.share = std::min(1.0, LoadFactor * m_options.exposureShare), .targets = LoadPhaseTargets, .spell = phase, .name = "load"};
         }
         return {.share = ProbeFactor * m_options.exposureShare, .name = "probe"};
     case RolloutStage::Promoting: {
-        const auto since = partOf(record.ageMs - std::min(record.promotedAtMs, record.ageMs), record);
-        if (since < PromotionStep) {
+        const auto since = fractionOf(record.ageMs - std::min(record.promotedAtMs, record.ageMs), record);
+        if (since < PromotionStepLength) {
             return {.share = FirstPromotedShare, .name = "first step"};
         }
-        return since < 2 * PromotionStep ? Step{.share = SecondPromotedShare, .name = "second step"} : Step{.share = 1, .name = "all"};
+        return since < 2 * PromotionStepLength ? Step{.share = SecondPromotedShare, .name = "second step"} : Step{.share = 1, .name = "all"};
     }
     case RolloutStage::CutOff:
     case RolloutStage::RolledBack:
@@ -76,15 +75,15 @@
 
 bool SharePlan::mayPromote(const RolloutRecord &record) const
 {
-    const auto part = partOf(record.ageMs, record);
-    return record.stage == RolloutStage::Running && part >= PromoteFrom && part < PromoteUntil;
+    const auto fraction = fractionOf(record.ageMs, record);
+    return record.stage == RolloutStage::Running && fraction >= PromotionWindowBegin && fraction < PromotionWindowEnd;
 }
 
 bool SharePlan::isTooLate(const RolloutRecord &record) const
 {
-    const auto part = partOf(record.ageMs, record);
-    const bool undecided = record.stage == RolloutStage::Running && part >= PromoteUntil;
-    return undecided || (record.stage == RolloutStage::Promoting && part >= PromotedUntil);
+    const auto fraction = fractionOf(record.ageMs, record);
+    const bool undecided = record.stage == RolloutStage::Running && fraction >= PromotionWindowEnd;
+    return undecided || (record.stage == RolloutStage::Promoting && fraction >= PromotionLimit);
 }
 
 bool SharePlan::takesAll(const RolloutRecord &record) const
--- a/src/core/rollouts/shareplan.h
+++ b/src/core/rollouts/shareplan.h
@@ -4,17 +4,16 @@
 
 namespace Galenahill {
 
-// The share of a service's calls that a version under test gets, by the time since
-// its order. A small share first; then short spells of a larger one at a few targets,
-// so that a fault which only shows under load does; then steps up to all calls. Until
-// the promotion the shares add up to at most the exposure that is allowed.
+// The share of a service's calls that the new version gets, by the time since the rollout started.
+// It begins with a small share, then has short load phases with a larger share at a few targets,
+// which expose faults that only occur under load, and then steps up to all calls. Until the
+// promotion, the shares add up to at most the allowed exposure.
 class SharePlan
 {
 public:
     struct Options
     {
-        // Share of the service's calls in the whole time that may reach a version
-        // that turns out bad.
+        // Share of the service's calls during the rollout that may reach a bad version.
         double exposureShare = 0.1;
     };
 
@@ -22,11 +21,11 @@
     {
         // Share of the calls, from 0 to 1.
         double share = 0;
-        // Targets that get them; zero: all of the version.
+        // Number of targets that get these calls; zero: all targets of the version.
         std::size_t targets = 0;
-        // Number of the spell of load; another one has other targets.
+        // Number of the load phase; each selects other targets.
         unsigned spell = 0;
-        // Part of the plan, for the log.
+        // Name of the step, for the log.
         const char *name = "";
 
         friend bool operator==(const Step &, const Step &) = default;
@@ -34,11 +33,11 @@
 
     explicit SharePlan(Options options);
 
-    // The step that the record is at.
+    // The step for the record's stage and age.
     Step at(const RolloutRecord &record) const;
 
-    // Whether the version has been under test long enough to be promoted, and whether
-    // it is too late for that.
+    // Whether the version has been compared long enough to be promoted, and whether it is too late
+    // for that.
     bool mayPromote(const RolloutRecord &record) const;
     bool isTooLate(const RolloutRecord &record) const;
 
--- a/src/core/rollouts/versioncensus.cpp
+++ b/src/core/rollouts/versioncensus.cpp
@@ -2,23 +2,23 @@
 
 namespace Galenahill {
 
-VersionCensus VersionCensus::of(const RolloutOrder &order, const std::vector<MemberRecord> &members)
+VersionCensus VersionCensus::of(const RolloutOrder &spec, const std::vector<MemberRecord> &members)
 {
-    VersionCensus census;
+    VersionCensus targets;
     for (const auto &member : members) {
-        const bool counts = member.service == order.service && member.state < MemberState::Gone && !member.version.value().empty();
-        if (!counts) {
+        const bool included = member.service == spec.service && member.state < MemberState::Gone && !member.version.value().empty();
+        if (!included) {
             continue;
         }
-        const bool takesCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
-        if (member.version != order.version) {
-            census.others.push_back(member.name);
-            census.othersReady += takesCalls ? 1 : 0;
-        } else if (takesCalls) {
-            census.ofVersion.push_back(member.name);
+        const bool acceptsCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
+        if (member.version != spec.version) {
+            targets.others.push_back(member.name);
+            targets.othersReady += acceptsCalls ? 1 : 0;
+        } else if (acceptsCalls) {
+            targets.ofVersion.push_back(member.name);
         }
     }
-    return census;
+    return targets;
 }
 
 }
--- a/src/core/rollouts/versioncensus.h
+++ b/src/core/rollouts/versioncensus.h
@@ -7,16 +7,17 @@
 
 namespace Galenahill {
 
-// The targets of a service by their version, as the members tell it.
+// The targets of a service grouped by version, as reported by the members.
 struct VersionCensus
 {
-    // Targets of the version that take calls.
+    // Targets of the new version that accept calls.
     std::vector<NodeName> ofVersion;
-    // Targets of other versions: those that take calls, and all whose VM lives.
+    // Targets of other versions: the number of those that accept calls, and the names of all whose
+    // VM is alive.
     std::size_t othersReady = 0;
     std::vector<NodeName> others;
 
-    static VersionCensus of(const RolloutOrder &order, const std::vector<MemberRecord> &members);
+    static VersionCensus of(const RolloutOrder &spec, const std::vector<MemberRecord> &members);
 };
 
 }
--- a/src/core/rollouts/versioncounts.cpp
+++ b/src/core/rollouts/versioncounts.cpp
@@ -11,17 +11,17 @@
     return static_cast<std::uint8_t>(std::min(doublings * PerDouble, GivenUp - 1.0));
 }
 
-void RouteCounts::add(TargetEnd end, Milliseconds time, bool timed)
+void RouteCounts::add(TargetEnd result, Milliseconds time, bool timed)
 {
     ++calls;
-    failures += end == TargetEnd::Failed ? 1 : 0;
+    failures += result == TargetEnd::Failed ? 1 : 0;
     if (!timed) {
         return;
     }
-    const auto range = end == TargetEnd::GivenUp ? TimeRange::GivenUp : TimeRange::of(time);
-    const auto found = std::find_if(times.begin(), times.end(), [&](const TimeRange &item) { return item.range == range; });
+    const auto bucket = result == TargetEnd::GivenUp ? TimeRange::GivenUp : TimeRange::of(time);
+    const auto found = std::find_if(times.begin(), times.end(), [&](const TimeRange &item) { return item.range == bucket; });
     if (found == times.end()) {
-        times.push_back({range, 1});
+        times.push_back({bucket, 1});
     } else {
         ++found->calls;
     }
--- a/src/core/rollouts/versioncounts.h
+++ b/src/core/rollouts/versioncounts.h
@@ -7,22 +7,22 @@
 
 namespace Galenahill {
 
-// How a target ended a call.
+// How a target finished a call.
 enum class TargetEnd {
     Answered,
-    // With a failure of its own.
+    // The target responded with an error.
     Failed,
-    // The call was given up, or its time was over, while the target worked on it.
+    // The call was cancelled or its deadline passed while the target worked on it.
     GivenUp,
 };
 
-// Calls that took a time within one range. Each range reaches from its lower end to
-// 1.4 times that; the last one holds those that were given up.
+// One bucket of a latency histogram. The upper bound of each bucket is 1.4 times its lower bound;
+// the last bucket counts the abandoned calls.
 struct TimeRange
 {
     static constexpr std::uint8_t GivenUp = 40;
     static constexpr std::uint8_t Count = GivenUp + 1;
-    // Ranges between a time and its double.
+    // Number of buckets per doubling of the latency.
     static constexpr std::uint8_t PerDouble = 2;
 
     std::uint8_t range = 0;
@@ -33,45 +33,47 @@
     friend bool operator==(const TimeRange &, const TimeRange &) = default;
 };
 
-// What a target did to the calls of one route since an order. Grows only.
+// Results of the calls of one route at one target since a rollout spec was created. Counts only
+// grow.
 struct RouteCounts
 {
     RouteName route;
     std::uint32_t calls = 0;
     std::uint32_t failures = 0;
-    // By the time that they took at the target; without those of a target that was
-    // just started.
+    // Histogram of the calls' latency at the target, without the calls of a target that has just
+    // started.
     std::vector<TimeRange> times;
 
-    void add(TargetEnd end, Milliseconds time, bool timed);
+    void add(TargetEnd result, Milliseconds time, bool timed);
 
     friend bool operator==(const RouteCounts &, const RouteCounts &) = default;
 };
 
-// The counts of one target, as the node beside it tells them.
+// The call counts of one target, as reported by the node beside it.
 struct TargetCounts
 {
     NodeName node;
-    // When the node's process started. A later one counts from zero again.
+    // Start time of the node's process. A later process counts from zero again.
     std::uint64_t process = 0;
     ServiceName service;
     TargetVersion version;
-    // The order since which they count.
+    // Version at which the spec that the counts belong to was created.
     ObjectVersion order;
-    // Grows with each report of the process.
+    // Sequence number of the report within the process.
     std::uint32_t report = 0;
-    // No call runs at the target, and none will for a while: see RetirementPromise.
+    // No call runs at the target, and none will until the retirement lease ends: see
+    // RetirementLease.
     bool retired = false;
     std::vector<RouteCounts> routes;
 };
 
-// Time after a report of retirement for which the node sends its target no call,
-// whatever it hears meanwhile, and time for which a judge believes the report. The
+// Time after a report of retirement for which the node sends no calls to its target whatever it
+// receives meanwhile, and the shorter time for which an evaluator relies on the report. The
 // difference is for the write that ends the rollout.
 inline constexpr Milliseconds RetirementPromise{800};
 inline constexpr Milliseconds RetirementBelief{400};
 
-// What one node tells another of rollouts.
+// Report of one node to another about rollouts.
 struct RolloutReport
 {
     std::vector<RolloutRecord> records;
--- a/src/core/rollouts/versionguard.cpp
+++ b/src/core/rollouts/versionguard.cpp
@@ -29,13 +29,13 @@
     return m_rule && m_rule->mode == VersionRule::Mode::Trial && m_rule->version == m_version;
 }
 
-std::string VersionGuard::refusal(std::string_view meantFor) const
+std::string VersionGuard::refusal(std::string_view intendedVersion) const
 {
     if (isShut()) {
-        return "the rollout leaves this target's version without calls";
+        return "the rollout sends no calls to this target's version";
     }
-    if (isOnTrial() && meantFor != m_version.value()) {
-        return "this target's version is under test, and the call isn't meant for it";
+    if (isOnTrial() && intendedVersion != m_version.value()) {
+        return "this target's version only accepts calls that the rollout assigned to it";
     }
     return {};
 }
--- a/src/core/rollouts/versionguard.h
+++ b/src/core/rollouts/versionguard.h
@@ -8,23 +8,25 @@
 
 namespace Galenahill {
 
-// Keeps calls away from a target whose version a rollout leaves without them. Also where
-// the ingress doesn't know of the rollout yet: the shares hold at each target.
+// Rejects calls at a target whose version gets none or only a share by the rule of a rollout. This
+// also holds for calls of an ingress that doesn't know of the rollout yet, since the rule is
+// enforced at each target.
 class VersionGuard
 {
 public:
     void setVersion(const TargetVersion &version);
 
-    // Says whether the rule is another one than before.
+    // Returns whether the rule changed.
     bool setRule(const std::optional<VersionRule> &rule);
 
-    // Whether the target gets no calls at all, or only those of its trial.
+    // Whether the target gets no calls at all, and whether it gets only those assigned to its
+    // version.
     bool isShut() const;
     bool isOnTrial() const;
 
-    // Why a call meant for that version is refused; empty: it isn't. An empty version:
-    // the call is meant for none in particular.
-    std::string refusal(std::string_view meantFor) const;
+    // The reason for rejecting a call that is intended for that version; empty: the call is
+    // accepted. An empty version means that the call is intended for no particular one.
+    std::string refusal(std::string_view intendedVersion) const;
 
 private:
     TargetVersion m_version;
--- a/src/core/rollouts/versionrule.h
+++ b/src/core/rollouts/versionrule.h
@@ -7,11 +7,11 @@
 
 namespace Galenahill {
 
-// What a rollout says of the targets of one service.
+// How a rollout distributes the calls of one service over the versions of its targets.
 struct VersionRule
 {
     enum class Mode {
-        // The version gets its share, the others get the rest.
+        // The version gets its share of the calls, the others get the rest.
         Trial,
         // The version gets no calls.
         Excluded,
@@ -22,7 +22,7 @@
     TargetVersion version;
     Mode mode = Mode::Trial;
     double share = 0;
-    // In a trial, the targets of the version that get its calls; empty: all.
+    // In canary mode, the targets of the version that get its calls; empty: all.
     std::vector<NodeName> targets;
 
     friend bool operator==(const VersionRule &, const VersionRule &) = default;
--- a/src/core/rollouts/versionsplit.cpp
+++ b/src/core/rollouts/versionsplit.cpp
@@ -9,16 +9,16 @@
 
 bool VersionSplit::next(const ServiceName &service, double share)
 {
-    auto found = m_due.find(service);
-    if (found == m_due.end()) {
-        found = m_due.emplace(service, std::uniform_real_distribution<double>(0, 1)(m_random)).first;
+    auto found = m_accumulatedShares.find(service);
+    if (found == m_accumulatedShares.end()) {
+        found = m_accumulatedShares.emplace(service, std::uniform_real_distribution<double>(0, 1)(m_random)).first;
     }
-    auto &due = found->second;
-    due += share;
-    if (due < 1) {
+    auto &accumulated = found->second;
+    accumulated += share;
+    if (accumulated < 1) {
         return false;
     }
-    due -= 1;
+    accumulated -= 1;
     return true;
 }
 
--- a/src/core/rollouts/versionsplit.h
+++ b/src/core/rollouts/versionsplit.h
@@ -8,20 +8,20 @@
 
 namespace Galenahill {
 
-// Decides call by call which go to a version under test: of any number of calls the
-// share, to within one call. Each node begins at another point, so that a fleet's
-// first calls don't all go there.
+// Decides for each call whether it goes to the new version: of any number of calls that version
+// gets its share, to within one call. Each node starts at a random offset, so that the first calls
+// of a fleet don't all go there.
 class VersionSplit
 {
 public:
     explicit VersionSplit(std::uint64_t seed);
 
-    // Whether the next call of the service goes to the version.
+    // Whether the next call of the service goes to the new version.
     bool next(const ServiceName &service, double share);
 
 private:
     std::mt19937_64 m_random;
-    std::unordered_map<ServiceName, double> m_due;
+    std::unordered_map<ServiceName, double> m_accumulatedShares;
 };
 
 }
--- a/src/core/rollouts/versiontest.cpp
+++ b/src/core/rollouts/versiontest.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Highest share that the test supposes; beyond it no answer could tell.
-constexpr double MaxShare = 0.97;
+// Highest share that the test assumes; with a higher one, no response could change the result.
+constexpr double MaxAssumedShare = 0.97;
 
-// Calls of the other versions on a route that are enough to compare with.
-constexpr double LeastCalls = 8;
+// Minimum number of calls of the other versions on a route to compare with.
+constexpr double MinCalls = 8;
 
-// Ranges above the usual time from which a call is slow: four times as long. Targets
-// are up to twice as slow as others of their service.
-constexpr std::size_t SlowRanges = 2 * TimeRange::PerDouble;
+// Number of buckets above the median from which on a call is slow: four times as long. Targets are
+// up to twice as slow as others of their service.
+constexpr std::size_t SlowBuckets = 2 * TimeRange::PerDouble;
 
 }
 
@@ -28,21 +28,21 @@
 {
 }
 
-double VersionTest::Counts::timed() const
+double VersionTest::Counts::timedCalls() const
 {
     return std::accumulate(times.begin(), times.end(), 0.0);
 }
 
-// Rule of succession: a few calls without a failure don't prove that there are none.
-double VersionTest::Counts::failing() const
+// Rule of succession: a few calls without a failure don't prove a failure rate of zero.
+double VersionTest::Counts::failureRate() const
 {
-    return calls < LeastCalls ? 0 : (failures + 1) / (calls + 2);
+    return calls < MinCalls ? 0 : (failures + 1) / (calls + 2);
 }
 
-std::optional<std::size_t> VersionTest::Counts::slowFrom() const
+std::optional<std::size_t> VersionTest::Counts::slowThreshold() const
 {
-    const auto all = timed();
-    if (all < LeastCalls) {
+    const auto all = timedCalls();
+    if (all < MinCalls) {
         return std::nullopt;
     }
     double below = 0;
@@ -51,123 +51,123 @@
         below += times[median];
         ++median;
     }
-    return std::min<std::size_t>(median + SlowRanges, TimeRange::GivenUp);
+    return std::min<std::size_t>(median + SlowBuckets, TimeRange::GivenUp);
 }
 
 double VersionTest::Counts::slowShare(std::size_t from) const
 {
-    const auto all = timed();
+    const auto all = timedCalls();
     const auto slow = std::accumulate(times.begin() + static_cast<std::ptrdiff_t>(from), times.end(), 0.0);
-    return all < LeastCalls ? 0 : (slow + 1) / (all + 2);
+    return all < MinCalls ? 0 : (slow + 1) / (all + 2);
 }
 
-void VersionTest::age(TimePoint now)
+void VersionTest::decayReferences(TimePoint now)
 {
     const auto passed = m_lastObserved == TimePoint() ? Clock::duration(0) : now - m_lastObserved;
     const double kept = std::exp(-std::chrono::duration<double>(passed) / std::chrono::duration<double>(m_options.memory));
     m_lastObserved = now;
     for (auto &[route, reference] : m_references) {
-        auto &[fresh, faded] = reference;
-        faded.calls = (faded.calls + fresh.calls) * kept;
-        faded.failures = (faded.failures + fresh.failures) * kept;
-        for (std::size_t i = 0; i < faded.times.size(); ++i) {
-            faded.times[i] = (faded.times[i] + fresh.times[i]) * kept;
+        auto &[recent, decayed] = reference;
+        decayed.calls = (decayed.calls + recent.calls) * kept;
+        decayed.failures = (decayed.failures + recent.failures) * kept;
+        for (std::size_t i = 0; i < decayed.times.size(); ++i) {
+            decayed.times[i] = (decayed.times[i] + recent.times[i]) * kept;
         }
-        fresh = {};
+        recent = {};
     }
 }
 
-VersionTest::Counts VersionTest::newSince(const EvidenceTable::Source &source, const RouteCounts &counts)
+VersionTest::Counts VersionTest::takeNewCounts(const EvidenceTable::Source &source, const RouteCounts &counts)
 {
     Counts all{.calls = static_cast<double>(counts.calls), .failures = static_cast<double>(counts.failures)};
     for (const auto &times : counts.times) {
         all.times[times.range] = times.calls;
     }
-    auto &counted = m_counted[source][counts.route];
-    Counts fresh{.calls = all.calls - counted.calls, .failures = all.failures - counted.failures};
-    std::transform(all.times.begin(), all.times.end(), counted.times.begin(), fresh.times.begin(), std::minus<>());
-    counted = all;
-    return fresh;
+    auto &last = m_lastCounts[source][counts.route];
+    Counts recent{.calls = all.calls - last.calls, .failures = all.failures - last.failures};
+    std::transform(all.times.begin(), all.times.end(), last.times.begin(), recent.times.begin(), std::minus<>());
+    last = all;
+    return recent;
 }
 
-// Logarithm of the likelihood ratio of that many bad ones among all.
-double VersionTest::step(double bad, double all, double usualShare) const
+// Logarithm of the likelihood ratio for that many bad calls out of all.
+double VersionTest::logLikelihoodRatio(double bad, double all, double referenceShare) const
 {
-    const double expected = std::min(usualShare + m_options.tolerated, MaxShare);
-    const double suspected = std::min(expected + m_options.wantedDifference, (1 + MaxShare) / 2);
-    return bad * std::log(suspected / expected) + (all - bad) * std::log((1 - suspected) / (1 - expected));
+    const double expected = std::min(referenceShare + m_options.tolerated, MaxAssumedShare);
+    const double worse = std::min(expected + m_options.wantedDifference, (1 + MaxAssumedShare) / 2);
+    return bad * std::log(worse / expected) + (all - bad) * std::log((1 - worse) / (1 - expected));
 }
 
-VersionTest::Scores VersionTest::judged(const RouteName &route, const Counts &counts) const
+VersionTest::Scores VersionTest::scoresOf(const RouteName &route, const Counts &counts) const
 {
     const auto found = m_references.find(route);
-    const auto &[fresh, faded] = found == m_references.end() ? Reference() : found->second;
+    const auto &[recent, decayed] = found == m_references.end() ? Reference() : found->second;
     Scores scores;
-    scores.failure = step(counts.failures, counts.calls, std::max(fresh.failing(), faded.failing()));
-    // While all are slow, what is slow is another time.
-    const auto from = std::max(fresh.slowFrom(), faded.slowFrom());
+    scores.failure = logLikelihoodRatio(counts.failures, counts.calls, std::max(recent.failureRate(), decayed.failureRate()));
+    // While all targets are slow, the higher of both thresholds applies.
+    const auto from = std::max(recent.slowThreshold(), decayed.slowThreshold());
     if (from) {
         const auto slow = std::accumulate(counts.times.begin() + static_cast<std::ptrdiff_t>(*from), counts.times.end(), 0.0);
-        scores.slowness = step(slow, counts.timed(), std::max(fresh.slowShare(*from), faded.slowShare(*from)));
+        scores.slowness = logLikelihoodRatio(slow, counts.timedCalls(), std::max(recent.slowShare(*from), decayed.slowShare(*from)));
     }
     return scores;
 }
 
-// Adds what each target showed of late, but for the one that looks worst by now.
-void VersionTest::add(const std::map<NodeName, Scores> &steps, double Scores::*score)
+// Adds the latest scores of all targets except the one with the worst accumulated score.
+void VersionTest::addScores(const std::map<NodeName, Scores> &latest, double Scores::*score)
 {
     double worst = 0;
-    double worstStep = 0;
+    double worstLatest = 0;
     double sum = 0;
-    for (const auto &[node, step] : steps) {
-        auto &ofTarget = m_ofTargets[node].*score;
-        ofTarget = std::max(0.0, ofTarget + step.*score);
-        sum += step.*score;
+    for (const auto &[node, scores] : latest) {
+        auto &targetScore = m_targetScores[node].*score;
+        targetScore = std::max(0.0, targetScore + scores.*score);
+        sum += scores.*score;
     }
-    for (const auto &[node, scores] : m_ofTargets) {
+    for (const auto &[node, scores] : m_targetScores) {
         if (scores.*score > worst) {
-            const auto step = steps.find(node);
+            const auto latestOfTarget = latest.find(node);
             worst = scores.*score;
-            worstStep = step == steps.end() ? 0 : step->second.*score;
+            worstLatest = latestOfTarget == latest.end() ? 0 : latestOfTarget->second.*score;
         }
     }
-    const double counted = m_ofTargets.size() == 1 ? sum / 2 : sum - std::max(worstStep, 0.0);
-    m_scores.*score = std::max(0.0, m_scores.*score + counted);
+    const double total = m_targetScores.size() == 1 ? sum / 2 : sum - std::max(worstLatest, 0.0);
+    m_scores.*score = std::max(0.0, m_scores.*score + total);
 }
 
-void VersionTest::observe(const EvidenceTable &evidence, TimePoint now)
+void VersionTest::observe(const EvidenceTable &targetCounts, TimePoint now)
 {
-    age(now);
-    struct Fresh
+    decayReferences(now);
+    struct NewCounts
     {
         NodeName node;
         RouteName route;
         Counts counts;
     };
-    std::vector<Fresh> ofVersion;
-    for (const auto &[source, counts] : evidence.all()) {
+    std::vector<NewCounts> ofVersion;
+    for (const auto &[source, counts] : targetCounts.all()) {
         for (const auto &route : counts.routes) {
-            const auto fresh = newSince(source, route);
+            const auto recent = takeNewCounts(source, route);
             if (source.version == m_options.version) {
-                ofVersion.push_back({source.node, route.route, fresh});
+                ofVersion.push_back({source.node, route.route, recent});
                 continue;
             }
-            auto &reference = m_references[route.route].fresh;
-            reference.calls += fresh.calls;
-            reference.failures += fresh.failures;
-            std::transform(reference.times.begin(), reference.times.end(), fresh.times.begin(), reference.times.begin(), std::plus<>());
+            auto &reference = m_references[route.route].recent;
+            reference.calls += recent.calls;
+            reference.failures += recent.failures;
+            std::transform(reference.times.begin(), reference.times.end(), recent.times.begin(), reference.times.begin(), std::plus<>());
         }
     }
-    std::map<NodeName, Scores> steps;
+    std::map<NodeName, Scores> latest;
     for (const auto &[node, route, counts] : ofVersion) {
-        const auto step = judged(route, counts);
-        steps[node].failure += step.failure;
-        steps[node].slowness += step.slowness;
+        const auto scores = scoresOf(route, counts);
+        latest[node].failure += scores.failure;
+        latest[node].slowness += scores.slowness;
         m_calls += static_cast<std::uint64_t>(counts.calls);
         m_failures += static_cast<std::uint64_t>(counts.failures);
     }
-    add(steps, &Scores::failure);
-    add(steps, &Scores::slowness);
+    addScores(latest, &Scores::failure);
+    addScores(latest, &Scores::slowness);
 }
 
 double VersionTest::failureScore() const
--- a/src/ports/logger.h
+++ b/src/ports/logger.h
@@ -16,7 +16,7 @@
     Error,
 };
 
-// One value beside an event, such as {"revision", 7}.
+// One field of a log event, such as {"revision", 7}.
 struct LogField
 {
     std::string key;
@@ -50,7 +50,7 @@
     }
 };
 
-// Takes one log event. `event` is a fixed name that docs/OPERATIONS.md lists.
+// Writes one log event. `event` is a fixed name that docs/OPERATIONS.md lists.
 using Logger = std::function<void(LogLevel level, std::string_view event, const std::vector<LogField> &fields)>;
 
 }
