--- a/autotests/processes/callfaultstest.cpp
+++ b/autotests/processes/callfaultstest.cpp
@@ -1,5 +1,5 @@
-// Calls through real processes while those die, pause and restart. What is
-// checked are counts from the targets' ledgers, not times.
+// Calls through real processes while these die, pause and restart. Checks the counts in the targets'
+// ledgers, not times.
 
 #include "cli/nodeconnection.h"
 #include "fleet.h"
@@ -33,9 +33,8 @@
     return suite.argv[1];
 }
 
-// Four nodes with the routes above in force. All are in one data centre:
-// ingress nodes elsewhere would keep to their own target and never meet the
-// fault.
+// Four nodes with the routes above in force. All are in one data centre: ingress nodes in another one
+// would use their local target only and never meet the fault.
 struct Fixture
 {
     Fixture()
@@ -53,13 +52,13 @@
         waitForCalls();
     }
 
-    // A fresh node serves the revision, but takes no calls before it knows
-    // that no higher one exists; until then it refuses them as not run.
+    // Waits until all nodes accept calls. A new node rejects calls as not run until it knows that there
+    // is no higher revision than its own.
     void waitForCalls()
     {
         const auto limit = Clock::now() + ReadyLimit;
-        bool taken = false;
-        while (!taken && Clock::now() < limit) {
+        bool accepted = false;
+        while (!accepted && Clock::now() < limit) {
             LoadGenerator::Options options;
             for (std::size_t node = 0; node < Nodes; ++node) {
                 options.ingresses.push_back(fleet.ingress(node));
@@ -69,9 +68,9 @@
             options.calls = 100;
             options.idPrefix = "first" + std::to_string(++runs);
             const auto records = LoadGenerator(options).run();
-            taken = std::all_of(records.begin(), records.end(), [](const auto &record) { return record.outcome == CallOutcome::Answered; });
+            accepted = std::all_of(records.begin(), records.end(), [](const auto &record) { return record.outcome == CallOutcome::Answered; });
         }
-        BOOST_REQUIRE_MESSAGE(taken, "not all nodes take calls after the limit");
+        BOOST_REQUIRE_MESSAGE(accepted, "not all nodes accept calls within the time limit");
     }
 
     void apply(const std::string &name, const std::string &text)
@@ -128,7 +127,7 @@
         return result;
     }
 
-    // Whether a target runs calls after all faults are over.
+    // Whether the node's ingress gets all its calls answered after the fault.
     bool targetWorks(std::size_t node)
     {
         waitReady();
@@ -156,9 +155,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(callfaults, Fixture)
 
-// One of four targets accepts calls and never answers. Reads that went there
-// are given up in time for another target; orders end as "outcome unknown" and
-// don't run again when the target wakes up with them.
+// One of four targets accepts calls and never responds. Attempts of reads time out early enough for a
+// retry at another target; orders end as "outcome unknown" and do not run again when the target
+// resumes.
 BOOST_AUTO_TEST_CASE(frozenTarget)
 {
     const auto records = load({0, 1, 2, 3}, [this] {
@@ -171,10 +170,9 @@
     BOOST_TEST(result.unknown * 100 <= records.size() * 2);
 }
 
-// A sidecar is paused for longer than the calls' deadline, with calls on their
-// way to it, and wakes up with them in its sockets. Their callers were told
-// that the outcome is unknown, and reads were repeated elsewhere; no order may
-// run on two targets.
+// A sidecar is paused for longer than the calls' deadline and finds calls in its sockets when it
+// resumes. By then their callers have got an unknown outcome, and reads have been retried elsewhere;
+// no order may run on two targets.
 BOOST_AUTO_TEST_CASE(pausedSidecar)
 {
     const auto records = load({1, 2, 3}, [this] {
@@ -186,9 +184,9 @@
     BOOST_TEST(failedReads(records) * 100 <= records.size());
 }
 
-// A node dies with calls in flight as ingress and as sidecar, and returns with
-// pooled connections of the others gone stale. A call whose connection broke
-// may have run, so orders aren't repeated.
+// A node dies with calls in flight, both as ingress and as sidecar, and restarts while the other nodes'
+// pooled connections to it are stale. A call whose connection broke may have run, so orders are not
+// retried.
 BOOST_AUTO_TEST_CASE(killedNode)
 {
     const auto records = load({0, 1, 2, 3}, [this] {
@@ -199,8 +197,8 @@
     BOOST_TEST(targetWorks(0));
 }
 
-// Half the nodes die at once; the others' targets carry the service. Reads
-// through the nodes that live don't fail for it.
+// Half of the nodes die at once. The targets of the others carry the service, and reads through the
+// other nodes do not fail.
 BOOST_AUTO_TEST_CASE(halfTheFleetKilled)
 {
     const auto records = load({2, 3}, [this] {
@@ -215,8 +213,8 @@
     BOOST_TEST(targetWorks(1));
 }
 
-// A node is stopped as planned and started again under load. Nothing in
-// flight to its target is cut off, so through the other nodes no call fails.
+// A node is stopped gracefully and restarted under load. No call in flight to its target is cut off, so
+// no call through the other nodes fails.
 BOOST_AUTO_TEST_CASE(plannedStops)
 {
     const auto records = load({1, 2, 3}, [this] {
@@ -229,8 +227,8 @@
     BOOST_TEST(result.answered == records.size());
 }
 
-// Operators apply files while calls are under way; each call finishes on the
-// revision that it began with.
+// Operators apply configuration files while calls are in flight. Each call finishes with the revision
+// that it began with.
 BOOST_AUTO_TEST_CASE(configurationSwap)
 {
     const auto records = load({0, 1, 2, 3}, [this] {
--- a/autotests/processes/explainfailuretest.cpp
+++ b/autotests/processes/explainfailuretest.cpp
@@ -1,6 +1,6 @@
-// Three kinds of failed call on real processes, each explained from the nodes' logs
-// alone, as an on-call engineer has to. The test knows the cause since it brought
-// it about; the story that the client tells of the call's id must name it.
+// Three kinds of failed call on real processes, each explained from the nodes' logs alone, as an on-call
+// engineer has to. The test causes the failure, and the client's explanation of the call must name that
+// cause.
 
 #include "adapters/http/httpclient.h"
 #include "cli/callstory.h"
@@ -36,7 +36,7 @@
     return sampleDocument(argument(2), revision, "pedidos.example", routes);
 }
 
-// One node and a target with one slot whose calls take 400 ms.
+// One node whose target has one slot and takes 400 ms for a call.
 struct Fixture
 {
     PlatformFleet fleet{{.programs = argument(1),
@@ -52,8 +52,7 @@
     {
         const auto started = fleet.start(document(1, {Board, Orders}));
         BOOST_REQUIRE_MESSAGE(started.has_value(), started.error().message);
-        // Ready says that the node has a configuration; its target is heard of
-        // with the next announcement.
+        // A ready node has a configuration, but learns of its target only with the next announcement.
         const auto until = Clock::now() + Limit;
         for (int i = 0; statusOf(callAll({fmt::format("first-{}", i)}, "cola").front()) != 200; ++i) {
             BOOST_REQUIRE(Clock::now() < until);
@@ -65,18 +64,18 @@
         return answer ? static_cast<int>(answer->result_int()) : 0;
     }
 
-    // Sends a call of the route with each id at the same moment.
+    // Sends calls of the route with the given ids, all at the same time.
     std::vector<Result<HttpResponse>> callAll(const std::vector<std::string> &ids, const std::string &routeName)
     {
         asio::io_context context(1);
         HttpClient client(context, {});
-        const auto dialect = Platform::callDialect();
+        const auto headerNames = Platform::callDialect();
         std::vector<Result<HttpResponse>> answers(ids.size());
         const auto send = [&](std::size_t i) -> asio::awaitable<void> {
             HttpRequest request(http::verb::get, "/" + routeName + "/1", 11);
             request.set(http::field::host, "pedidos.example");
-            request.set(dialect.requestId, ids[i]);
-            request.set(dialect.timeLeft, "5000");
+            request.set(headerNames.requestId, ids[i]);
+            request.set(headerNames.timeLeft, "5000");
             answers[i] = co_await client.exchange(fleet.ingress(0), std::move(request), Clock::now() + Limit);
         };
         for (std::size_t i = 0; i < ids.size(); ++i) {
@@ -86,7 +85,7 @@
         return answers;
     }
 
-    // What the node's log says of the call, once its last line is there.
+    // Explanation of the call from the node's log, once that has the call's last event.
     std::string explain(const std::string &id, const std::string &lastEvent) const
     {
         const auto until = Clock::now() + Limit;
@@ -104,9 +103,9 @@
 
 }
 
-// Four calls come at once to one slot. What can't be served within its objective of
-// 300 ms behind calls of 400 ms is refused; its story says that all slots were
-// taken, how many there are, and how long the wait would have been.
+// Four calls at once compete for one slot. Calls that cannot be answered within their objective of
+// 300 ms after calls of 400 ms are rejected. The explanation says that all slots were in use, how many
+// there are and how long the wait would have been.
 BOOST_FIXTURE_TEST_CASE(ExplainsARefusalUnderOverload, Fixture)
 {
     const std::vector<std::string> ids = {"over-1", "over-2", "over-3", "over-4"};
@@ -121,8 +120,8 @@
     BOOST_TEST(table.find("expected_wait_ms=") != std::string::npos);
 }
 
-// The target is killed while it runs a call that must not be repeated. The caller
-// gets 502; the story says which target had it, and that its connection broke.
+// The target is killed while it runs a call that must not be retried. The caller gets 502; the
+// explanation says which target had the call, and that it neither timed out nor was cancelled.
 BOOST_FIXTURE_TEST_CASE(ExplainsALostTarget, Fixture)
 {
     std::thread killer([this] {
@@ -140,8 +139,8 @@
     BOOST_TEST(table.find("status=502") != std::string::npos);
 }
 
-// The operator removes a route. Its callers get 404; the story names the revision
-// that has no such route, and the log when that came into force.
+// The operator removes a route. Its callers get 404; the explanation names the revision without the
+// route, and the log has the event by which that revision came into force.
 BOOST_FIXTURE_TEST_CASE(ExplainsARemovedRoute, Fixture)
 {
     BOOST_REQUIRE(fleet.configure(document(2, {Board})).has_value());
@@ -153,9 +152,9 @@
         status = statusOf(callAll({id}, "orden").front());
     }
     BOOST_TEST(status == 404);
-    const auto table = explain(id, "no route takes");
+    const auto table = explain(id, "no route matches");
     BOOST_TEST_MESSAGE(table);
-    BOOST_TEST(table.find("no route takes GET pedidos.example /orden/1") != std::string::npos);
+    BOOST_TEST(table.find("no route matches GET pedidos.example /orden/1") != std::string::npos);
     BOOST_TEST(table.find("revision=2") != std::string::npos);
     std::ifstream log(fleet.nodeLog(0));
     const std::string text(std::istreambuf_iterator<char>(log), {});
--- a/autotests/unit/attemptpatiencetest.cpp
+++ b/autotests/unit/attemptpatiencetest.cpp
@@ -25,21 +25,20 @@
     return record;
 }
 
-// An ingress before two sidecars that the test plays itself: one whose target
-// is slow, or silent, and one that has room or hasn't. A route with a timeout
-// of 1.2 s, so that an attempt has taken long after 600 ms.
+// An ingress with two sidecars, both played by the test: one whose target is slow, and one with or
+// without free slots. The route has a timeout of 1.2 s, so an attempt times out after 600 ms.
 struct Fixture
 {
     static constexpr Milliseconds SlowTime{800};
-    // Of two idle targets each gets about every other call.
+    // Of two idle targets, each gets about every other call.
     static constexpr int MaxCalls = 50;
 
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> guard = asio::make_work_guard(context);
     HttpClient client{context, {}};
     std::atomic<bool> slow = false;
-    std::atomic<bool> otherHasRoom = true;
-    std::atomic<int> cut = 0;
+    std::atomic<bool> otherHasFreeSlot = true;
+    std::atomic<int> cancelledAttempts = 0;
     std::atomic<int> slowCalls = 0;
     std::atomic<int> otherCalls = 0;
     Ingress ingress{{.client = client,
@@ -61,7 +60,7 @@
             BOOST_REQUIRE(server->listen().has_value());
         }
         thread = std::thread([this] { context.run(); });
-        // What a usual call takes has to be known before one can take long.
+        // The ingress needs the usual latency of the route to choose the attempt timeout.
         BOOST_REQUIRE(call().find("200 OK") != std::string::npos);
         slow = true;
         slowCalls = 0;
@@ -109,14 +108,14 @@
             timer.expires_after(Milliseconds(5));
             co_await timer.async_wait(asio::use_awaitable);
         }
-        cut += connection.cancellation().cancelled() ? 1 : 0;
+        cancelledAttempts += connection.cancellation().cancelled() ? 1 : 0;
         co_return makeResponse(http::status::ok, "text/plain", "slow;");
     }
 
     asio::awaitable<HttpResponse> serveOther()
     {
         ++otherCalls;
-        if (!otherHasRoom) {
+        if (!otherHasFreeSlot) {
             auto refused = notRunResponse(http::status::service_unavailable, "refused", "full");
             refused.set(CallHeaders::Load, formatLoad({9, 9}));
             co_return refused;
@@ -124,28 +123,28 @@
         co_return makeResponse(http::status::ok, "text/plain", "other;");
     }
 
-    // The ingress learns that the other sidecar has no room left: it is offered
-    // calls while it is the only one.
+    // Lets the ingress learn that the other sidecar has no free slot, by a call while it is the only
+    // one.
     void fillOther()
     {
-        otherHasRoom = false;
+        otherHasFreeSlot = false;
         setMembers({member("other", OtherEndpoint)});
         BOOST_REQUIRE(call().find("503") != std::string::npos);
         setMembers({member("slow", SlowEndpoint), member("other", OtherEndpoint)});
     }
 
-    // Whether the slow target's work was given up, of which it learns a little
-    // later than the caller gets the other's answer.
-    bool cutSoon() const
+    // Whether the attempt at the slow target is cancelled. The target learns of that a little later than
+    // the caller gets the other target's response.
+    bool becomesCancelled() const
     {
         const auto end = Clock::now() + Patience;
-        while (cut == 0 && Clock::now() < end) {
+        while (cancelledAttempts == 0 && Clock::now() < end) {
             std::this_thread::sleep_for(Milliseconds(5));
         }
-        return cut == 1;
+        return cancelledAttempts == 1;
     }
 
-    // Sends a call, and gives its answer up to the end of the body.
+    // Sends a call and returns the complete response.
     static std::string call()
     {
         RawCaller caller(IngressEndpoint);
@@ -156,36 +155,36 @@
 
 }
 
-BOOST_FIXTURE_TEST_SUITE(patience, Fixture)
+BOOST_FIXTURE_TEST_SUITE(attempttimeout, Fixture)
 
-// A target is slow, and no other has room. The ingress used to give the attempt
-// up after half of the time all the same; its caller got an error while the
-// answer was on its way, and the target's work was lost. It goes on waiting.
-BOOST_AUTO_TEST_CASE(WaitsOnWhereNoOtherTargetHasRoom)
+// Guards against an ingress that cancels an attempt at a slow target after half of the timeout though
+// no other target has a free slot. The caller then gets an error instead of a late response, and the
+// target's work is lost.
+BOOST_AUTO_TEST_CASE(KeepsWaitingIfNoOtherTargetHasAFreeSlot)
 {
     fillOther();
     const auto answer = call();
     BOOST_TEST(answer.find("200 OK") != std::string::npos);
     BOOST_TEST(answer.find("slow;") != std::string::npos);
-    BOOST_TEST(cut == 0);
+    BOOST_TEST(cancelledAttempts == 0);
 }
 
-// A target is slow, and another one has room: the attempt is given up there and
-// made good here, in less time than the slow one needs.
-BOOST_AUTO_TEST_CASE(RepeatsWhereAnotherTargetHasRoom)
+// A target is slow and another one has a free slot: the attempt is cancelled, and its retry at the
+// other target is answered in less time than the slow target needs.
+BOOST_AUTO_TEST_CASE(RetriesAtAnotherTargetWithAFreeSlot)
 {
     setMembers({member("slow", SlowEndpoint), member("other", OtherEndpoint)});
     for (int i = 0; i < MaxCalls && slowCalls == 0; ++i) {
         BOOST_TEST(call().find("other;") != std::string::npos);
     }
     BOOST_TEST(slowCalls == 1);
-    BOOST_TEST(cutSoon());
+    BOOST_TEST(becomesCancelled());
 }
 
-// The node is stopping while a target is slow. A repeat that fails would leave
-// the caller with an error of the node's own in place of an answer that was
-// under way, so running attempts are left alone though another has room.
-BOOST_AUTO_TEST_CASE(AStoppingNodeGivesNoAttemptUp)
+// The node is stopping while a target is slow. A failed retry would leave the caller with an error of
+// the node instead of the response that was on its way, so running attempts are not cancelled even if
+// another target has a free slot.
+BOOST_AUTO_TEST_CASE(AStoppingNodeCancelsNoAttempt)
 {
     setMembers({member("slow", SlowEndpoint), member("other", OtherEndpoint)});
     onDataThread([this] { ingress.stop(); });
@@ -193,7 +192,7 @@
         BOOST_TEST(call().find("200 OK") != std::string::npos);
     }
     BOOST_TEST(slowCalls == 1);
-    BOOST_TEST(cut == 0);
+    BOOST_TEST(cancelledAttempts == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/autotests/unit/bodyintaketest.cpp
+++ b/autotests/unit/bodyintaketest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A body that comes in parts, each when the test lets it, or is cut off.
+// A body of which the test releases each part, or which it cuts off.
 class FakeBody : public BodySource
 {
 public:
@@ -43,7 +43,7 @@
         return Length;
     }
 
-    void come()
+    void arrive()
     {
         m_timer.cancel();
     }
@@ -101,7 +101,7 @@
     Cancellation m_cancellation;
 };
 
-// One upload from its offer to the end of its body.
+// One upload, from its offer to the end of its body.
 struct Upload
 {
     explicit Upload(asio::io_context &context)
@@ -115,12 +115,12 @@
     std::optional<BodyIntake::Outcome> outcome;
 };
 
-// A target of two slots on a link of 7 Mbit/s, one body at a time.
+// A target with two slots behind a link of 7 Mbit/s that carries one body at a time.
 struct Fixture
 {
     Fixture()
         : slots(std::make_shared<SlotLine>(context, policy()))
-        , intake(context, {.bytesPerSecond = 875000, .transfers = 1, .share = 1}, *slots)
+        , receiver(context, {.bytesPerSecond = 875000, .transfers = 1, .share = 1}, *slots)
     {
         slots->setSlots(2);
     }
@@ -144,13 +144,13 @@
         call.terms.mayWait = mayWait;
         asio::co_spawn(
             context,
-            [this, &it = *upload]() -> asio::awaitable<void> { it.outcome = co_await intake.take(it.request, it.call, it.connection); },
+            [this, &it = *upload]() -> asio::awaitable<void> { it.outcome = co_await receiver.take(it.request, it.call, it.connection); },
             asio::detached);
         runReady();
         return upload;
     }
 
-    // Runs what can run without waiting.
+    // Runs all handlers that are ready.
     void runReady()
     {
         context.restart();
@@ -159,15 +159,15 @@
 
     asio::io_context context{1};
     std::shared_ptr<SlotLine> slots;
-    BodyIntake intake;
+    BodyIntake receiver;
 };
 
 }
 
 BOOST_FIXTURE_TEST_SUITE(bodies, Fixture)
 
-// Two uploads are offered; the link carries one at a time. The second comes once the
-// first is here, and one that may not wait is told to go elsewhere meanwhile.
+// The link carries one upload at a time: the second starts once the first is complete, and one that
+// may not wait is rejected meanwhile.
 BOOST_AUTO_TEST_CASE(OneBodyAfterTheOther)
 {
     const auto first = offer(Milliseconds(30000));
@@ -175,19 +175,19 @@
     const auto third = offer(Milliseconds(30000), false);
     BOOST_REQUIRE(third->outcome.has_value());
     BOOST_TEST((third->outcome->end == BodyIntake::End::Refused));
-    first->connection.body.come();
+    first->connection.body.arrive();
     runReady();
     BOOST_REQUIRE(first->outcome.has_value());
     BOOST_TEST((first->outcome->end == BodyIntake::End::Here));
     BOOST_TEST(first->request.body().size() == FakeBody::Length);
     BOOST_TEST(!second->outcome.has_value());
-    second->connection.body.come();
+    second->connection.body.arrive();
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
     BOOST_TEST((second->outcome->end == BodyIntake::End::Here));
 }
 
-// An ingress is let in and dies in mid-body. The link is free for the next one.
+// An ingress dies while it sends a body. The next body can start.
 BOOST_AUTO_TEST_CASE(ABodyCutOffFreesTheLink)
 {
     const auto first = offer(Milliseconds(30000));
@@ -196,13 +196,13 @@
     runReady();
     BOOST_REQUIRE(first->outcome.has_value());
     BOOST_TEST((first->outcome->end == BodyIntake::End::CutOff));
-    second->connection.body.come();
+    second->connection.body.arrive();
     runReady();
     BOOST_TEST((second->outcome.value().end == BodyIntake::End::Here));
 }
 
-// A caller leaves while its upload waits for the link; nothing of it is ever asked for.
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesTheLineIsGone)
+// A caller disconnects while its upload waits for the link. No part of the body is ever read.
+BOOST_AUTO_TEST_CASE(ACancelledUploadLeavesTheQueue)
 {
     const auto first = offer(Milliseconds(30000));
     const auto second = offer(Milliseconds(30000));
@@ -210,33 +210,32 @@
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
     BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
-    first->connection.body.come();
+    first->connection.body.arrive();
     runReady();
     BOOST_TEST(!second->connection.body.taken());
 }
 
-// After the fleet's return the target's calls have all taken longer than an upload's
-// objective. With slots and link free it is taken all the same: else no answer
-// would ever show that the target is fast again. With the link taken it is refused
-// at once.
-BOOST_AUTO_TEST_CASE(AnIdleTargetTakesWhatIsExpectedLate)
+// After a restart of the fleet, all calls of the target have taken longer than an upload's objective.
+// While slots and link are free, uploads are accepted nevertheless: otherwise no response would ever
+// show that the target is fast again. While the link is in use, they are rejected at once.
+BOOST_AUTO_TEST_CASE(AnIdleTargetAcceptsUploadsExpectedToBeLate)
 {
     const auto first = offer(Milliseconds(5));
     BOOST_TEST(!first->outcome.has_value());
     const auto second = offer(Milliseconds(5));
     BOOST_REQUIRE(second->outcome.has_value());
     BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
-    first->connection.body.come();
+    first->connection.body.arrive();
     runReady();
     BOOST_TEST((first->outcome.value().end == BodyIntake::End::Here));
 }
 
-// The target leaves while an upload waits for the link.
-BOOST_AUTO_TEST_CASE(ThoseThatWaitAreRefusedWhenTheTargetLeaves)
+// The target starts draining while an upload waits for the link.
+BOOST_AUTO_TEST_CASE(WaitingUploadsAreRejectedWhenTheTargetDrains)
 {
     const auto first = offer(Milliseconds(30000));
     const auto second = offer(Milliseconds(30000));
-    intake.refuseWaiting();
+    receiver.refuseWaiting();
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
     BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
--- a/autotests/unit/callpathtest.cpp
+++ b/autotests/unit/callpathtest.cpp
@@ -18,15 +18,15 @@
 
 constexpr std::size_t LargeBytes = 32 * 1024 * 1024;
 
-// Gives a body of a length, or ends it early.
+// Produces a body of a given length, or cuts it off early.
 class GeneratedBody : public BodySource
 {
 public:
-    GeneratedBody(std::size_t whole, std::size_t available, bool lengthKnown)
-        : m_whole(whole)
+    GeneratedBody(std::size_t length, std::size_t available, bool lengthKnown)
+        : m_length(length)
         , m_left(available)
         , m_lengthKnown(lengthKnown)
-        , m_cut(available < whole)
+        , m_cut(available < length)
     {
     }
 
@@ -53,11 +53,11 @@
 
     std::optional<std::uint64_t> length() const override
     {
-        return m_lengthKnown ? std::optional<std::uint64_t>(m_whole) : std::nullopt;
+        return m_lengthKnown ? std::optional<std::uint64_t>(m_length) : std::nullopt;
     }
 
 private:
-    std::size_t m_whole;
+    std::size_t m_length;
     std::size_t m_left;
     bool m_lengthKnown;
     bool m_cut;
@@ -75,14 +75,14 @@
     return record;
 }
 
-// Ingress, sidecar and target on one thread, each with its real sockets.
+// Ingress, sidecar and target on one thread, connected by real sockets.
 struct Fixture
 {
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> guard = asio::make_work_guard(context);
     HttpClient client{context, {}};
     std::atomic<int> targetCalls = 0;
-    std::atomic<int> targetCancelled = 0;
+    std::atomic<int> cancelledCalls = 0;
     std::atomic<bool> targetReady = false;
     Ingress ingress{{.client = client,
         .node = NodeName("n"),
@@ -134,8 +134,8 @@
         targetCalls = 0;
     }
 
-    // A target that has just become ready gets one call at a time, and more
-    // with each answer; the tests below mean one that has had some.
+    // A target that has just become ready gets one call at a time, and more with each response. The
+    // tests below need a target with all its slots available.
     void warmUp()
     {
         constexpr int Slots = 9;
@@ -188,7 +188,7 @@
                 timer.expires_after(Milliseconds(2));
                 co_await timer.async_wait(asio::use_awaitable);
             }
-            ++targetCancelled;
+            ++cancelledCalls;
         }
         if (path == "/ventas/fields") {
             std::string names;
@@ -219,7 +219,7 @@
         co_return makeResponse(http::status::ok, "text/plain", "taken " + std::to_string(count) + ";");
     }
 
-    // Requests in flight anywhere on the path.
+    // Number of requests in flight at ingress, sidecar and target.
     std::size_t inFlight()
     {
         std::promise<std::size_t> result;
@@ -243,7 +243,7 @@
     return "POST /ventas/upload HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n";
 }
 
-// Sends a large body and gives how many bytes of it the target took.
+// Sends a large body and returns how many bytes of it the target received.
 std::string upload(RawCaller &caller)
 {
     caller.send(uploadHeader(LargeBytes));
@@ -257,10 +257,10 @@
 
 }
 
-// A caller closes while its call runs at the target. The close must travel
-// along: the ingress closes its connection to the sidecar, and the sidecar its
-// own to the target. Else the slot stays taken for an answer nobody reads.
-BOOST_FIXTURE_TEST_CASE(PassesACancellationOnToTheTarget, Fixture)
+// A caller disconnects while its call runs at the target. The ingress must close its connection to the
+// sidecar, and the sidecar its connection to the target. Otherwise the slot stays in use for a
+// response that nobody reads.
+BOOST_FIXTURE_TEST_CASE(PropagatesCancellationToTheTarget, Fixture)
 {
     RawCaller caller(IngressEndpoint);
     caller.send("GET /ventas/wait HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -269,29 +269,29 @@
     }
     caller.close();
     BOOST_TEST(becomesIdle());
-    BOOST_TEST(targetCancelled == 1);
+    BOOST_TEST(cancelledCalls == 1);
     BOOST_TEST(targetCalls == 1);
 }
 
-// Several callers send and fetch bodies that are together far larger than
-// what the node may hold. Each part is passed on before the next is read.
-BOOST_FIXTURE_TEST_CASE(HoldsOnlyPartsOfLargeBodies, Fixture)
+// Several callers send and fetch bodies that together are far larger than the memory that the node may
+// use for them. Each part must be forwarded before the next one is read.
+BOOST_FIXTURE_TEST_CASE(BuffersOnlyPartsOfLargeBodies, Fixture)
 {
     constexpr int Callers = 6;
     const auto before = HeapCounter::restartPeak();
     std::vector<std::thread> threads;
     threads.reserve(Callers);
-    std::atomic<int> whole = 0;
+    std::atomic<int> complete = 0;
     for (int i = 0; i < Callers; ++i) {
         threads.emplace_back([&] {
             RawCaller caller(IngressEndpoint);
-            whole += upload(caller) == std::to_string(LargeBytes) + ";" ? 1 : 0;
+            complete += upload(caller) == std::to_string(LargeBytes) + ";" ? 1 : 0;
             caller.send("GET /ventas/large HTTP/1.1\r\nHost: h\r\n\r\n");
             const auto header = caller.readTo("\r\n\r\n");
-            whole += header.find("Content-Length: " + std::to_string(LargeBytes)) != std::string::npos && caller.skip(LargeBytes) ? 1 : 0;
+            complete += header.find("Content-Length: " + std::to_string(LargeBytes)) != std::string::npos && caller.skip(LargeBytes) ? 1 : 0;
             caller.send("GET /ventas/large-chunked HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             caller.readTo("Transfer-Encoding: chunked");
-            whole += caller.skipToEnd() == "0\r\n\r\n" ? 1 : 0;
+            complete += caller.skipToEnd() == "0\r\n\r\n" ? 1 : 0;
         });
     }
     for (auto &thread : threads) {
@@ -299,13 +299,13 @@
     }
     const auto peak = HeapCounter::peakBytes - before;
     BOOST_TEST_MESSAGE("peak bytes held for " << Callers << " callers: " << peak);
-    BOOST_TEST(whole == 3 * Callers);
+    BOOST_TEST(complete == 3 * Callers);
     BOOST_TEST(peak < 2 * 1024 * 1024 * Callers);
 }
 
-// The target dies in the middle of a long answer. What its caller has got by
-// then must not look like a whole answer.
-BOOST_FIXTURE_TEST_CASE(PassesACutOffAnswerOnAsCutOff, Fixture)
+// The target dies in the middle of a long response. The part that the caller has received must not look
+// like a complete response.
+BOOST_FIXTURE_TEST_CASE(ForwardsATruncatedResponseAsTruncated, Fixture)
 {
     for (const std::string path : {"/ventas/large-cut", "/ventas/large-chunked-cut"}) {
         RawCaller caller(IngressEndpoint);
@@ -317,10 +317,10 @@
     BOOST_TEST(becomesIdle());
 }
 
-// One of two sidecars refuses. The ingress may go on to the other one only
-// because it asks before it sends a large body: once a part has been sent it
-// is gone, and the call would fail though a target had room.
-BOOST_FIXTURE_TEST_CASE(SendsALargeBodyOnlyToWhoTakesIt, Fixture)
+// One of two sidecars rejects all calls. The ingress can go on to the other one only because it waits
+// for 100 Continue before it sends a large body: a part that has been sent cannot be sent again, and
+// the call would fail though a target has free slots.
+BOOST_FIXTURE_TEST_CASE(SendsALargeBodyOnlyToASidecarThatAcceptsIt, Fixture)
 {
     setMembers({member("a", SidecarEndpoint), member("b", RefusingEndpoint)});
     for (int i = 0; i < 8; ++i) {
@@ -330,9 +330,9 @@
     BOOST_TEST(targetCalls == 8);
 }
 
-// A caller forges the fields that nodes tell each other, or has a proxy drop
-// others by naming them in Connection; a target forges a refusal, upon which
-// the ingress would send the call once more.
+// A caller forges header fields that only nodes may set, and lists others in Connection to have them
+// removed as hop-by-hop; a target forges a rejection, after which the ingress would send the call
+// again.
 BOOST_FIXTURE_TEST_CASE(StripsForgedFields, Fixture)
 {
     RawCaller caller(IngressEndpoint);
@@ -346,9 +346,9 @@
     BOOST_TEST(targetCalls == 1);
 }
 
-// Allocations are what a call's time on a busy node mostly depends on, and
-// unlike time they are the same on every machine. Counted are ingress,
-// sidecar, target and the three connections between.
+// The time that a call takes on a busy node depends mostly on the number of heap allocations, which,
+// unlike time, is the same on every machine. Counts those of ingress, sidecar, target and the three
+// connections between them.
 BOOST_FIXTURE_TEST_CASE(AllocatesLittlePerCall, Fixture)
 {
     constexpr std::uint64_t Calls = 1000;
--- a/autotests/unit/repeatbudgettest.cpp
+++ b/autotests/unit/repeatbudgettest.cpp
@@ -13,15 +13,15 @@
 const Endpoint IngressEndpoint{Address, 8080};
 const std::vector<Endpoint> Sidecars = {{Address, 8081}, {Address, 8082}};
 
-// An ingress whose target is running a call that was repeated, before two sidecars;
-// each fails the calls to /fails.
+// An ingress with two sidecars, both of which fail the calls to /fails. The local target is running a
+// call that is a retry, and may be the parent of the calls.
 struct Fixture
 {
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> guard = asio::make_work_guard(context);
     HttpClient client{context, {}};
     std::atomic<int> runs = 0;
-    CallDialect dialect;
+    CallDialect headerNames;
     std::unique_ptr<Ingress> ingress;
     HttpServer ingressServer{context, {.endpoint = IngressEndpoint, .handler = [this](HttpRequest request, ServerConnection &connection) {
                                            return ingress->handle(std::move(request), connection);
@@ -31,13 +31,13 @@
 
     Fixture()
     {
-        dialect.requestId = "X-Id";
-        dialect.notExecuted = "X-Not-Executed";
-        dialect.parentOf = [](std::string_view id) { return id.find('.') == id.npos ? std::string_view() : id.substr(0, id.find('.')); };
+        headerNames.requestId = "X-Id";
+        headerNames.notExecuted = "X-Not-Executed";
+        headerNames.parentOf = [](std::string_view id) { return id.find('.') == id.npos ? std::string_view() : id.substr(0, id.find('.')); };
         ingress = std::make_unique<Ingress>(Ingress::Options{.client = client,
             .node = NodeName("n"),
             .dataCentre = DataCentre("rosario-a"),
-            .dialect = dialect,
+            .dialect = headerNames,
             .retries = {.perCall = 0, .most = 1},
             .runningCall =
                 [](std::string_view) {
@@ -103,15 +103,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(budget, Fixture)
 
-BOOST_AUTO_TEST_CASE(ACallThatFailedIsRepeatedWithinTheBudget)
+BOOST_AUTO_TEST_CASE(RetriesAFailedCallWithinTheBudget)
 {
     BOOST_TEST(runsOf("/fails", "a") == 2);
     BOOST_TEST(runsOf("/fails", "b") == 1);
 }
 
-// Guards against a service that gets more repeats than its budget by way of repeated
-// runs of its callers.
-BOOST_AUTO_TEST_CASE(CallsOfARepeatedRunAreRepeats)
+// Guards against a service that gets more retries than its budget through nested calls of retried
+// calls.
+BOOST_AUTO_TEST_CASE(NestedCallsOfARetryCountAsRetries)
 {
     BOOST_TEST(runsOf("/works", "parent.1") == 1);
     BOOST_TEST(runsOf("/fails", "b") == 1);
@@ -119,7 +119,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(SaysWhetherACallIsARepeat)
+BOOST_AUTO_TEST_CASE(SidecarLearnsWhetherACallIsARetry)
 {
     const CallTerms terms{.priority = 1, .mayWait = false, .repeat = true};
     HttpRequest request;
--- a/autotests/unit/slotlinetest.cpp
+++ b/autotests/unit/slotlinetest.cpp
@@ -38,7 +38,7 @@
     Cancellation m_cancellation;
 };
 
-// A target with one slot, calls of 20 ms, and a line by urgency.
+// A target with one slot and a queue that is ordered by urgency.
 struct Fixture
 {
     Fixture()
@@ -46,8 +46,8 @@
         CallPolicy policy;
         policy.adaptive = false;
         policy.byUrgency = true;
-        line = std::make_shared<SlotLine>(context, policy);
-        line->setSlots(1);
+        slots = std::make_shared<SlotLine>(context, policy);
+        slots->setSlots(1);
     }
 
     static SlotCall call(Milliseconds objective, bool mayWait = true)
@@ -64,10 +64,10 @@
     void enter(SlotCall &call, FakeConnection &connection, std::optional<bool> &result)
     {
         asio::co_spawn(
-            context, [&]() -> asio::awaitable<void> { result = co_await line->enter(call, connection); }, asio::detached);
+            context, [&]() -> asio::awaitable<void> { result = co_await slots->enter(call, connection); }, asio::detached);
     }
 
-    // Runs what can run without waiting.
+    // Runs all handlers that are ready.
     void runReady()
     {
         context.restart();
@@ -75,7 +75,7 @@
     }
 
     asio::io_context context{1};
-    std::shared_ptr<SlotLine> line;
+    std::shared_ptr<SlotLine> slots;
     FakeConnection first;
     FakeConnection second;
     std::optional<bool> firstEntered;
@@ -84,11 +84,11 @@
 
 }
 
-BOOST_FIXTURE_TEST_SUITE(slots, Fixture)
+BOOST_FIXTURE_TEST_SUITE(slotqueue, Fixture)
 
-// A call that may not wait is answered at once: its ingress asks another target.
-// One that may wait gets the slot when it is given back.
-BOOST_AUTO_TEST_CASE(WaitsOnlyIfItMay)
+// A call that may not wait is rejected at once, so that its ingress can offer it to another target. One
+// that may wait gets the slot when it is released.
+BOOST_AUTO_TEST_CASE(OnlyCallsThatMayWaitAreQueued)
 {
     auto running = call(Milliseconds(30000));
     enter(running, first, firstEntered);
@@ -103,34 +103,33 @@
     enter(waiting, second, waited);
     runReady();
     BOOST_TEST(!waited.has_value());
-    BOOST_TEST(line->waiting() == 1U);
-    line->leave(running, AdmissionController::End::Answered);
+    BOOST_TEST(slots->waiting() == 1U);
+    slots->leave(running, AdmissionController::End::Answered);
     runReady();
     BOOST_TEST(waited.value());
 }
 
-// The slot goes to a waiting call, and its caller closes in the same moment,
-// before the call goes on. It must give the slot back all the same: each time
-// that it didn't, the target would run one call less for good.
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesAsItsCallIsAdmittedLosesNoSlot)
+// A waiting call gets the slot, and its caller disconnects before the call resumes. The slot must still
+// be released: each slot that leaks reduces the target's concurrency for good.
+BOOST_AUTO_TEST_CASE(CancellingACallAsItIsAdmittedLeaksNoSlot)
 {
     auto running = call(Milliseconds(30000));
     enter(running, first, firstEntered);
     auto waiting = call(Milliseconds(30000));
     enter(waiting, second, secondEntered);
     runReady();
-    line->leave(running, AdmissionController::End::Answered);
+    slots->leave(running, AdmissionController::End::Answered);
     second.cancellation().cancel();
     runReady();
     BOOST_REQUIRE(secondEntered.has_value());
     if (*secondEntered) {
-        line->leave(waiting, AdmissionController::End::NotSent);
+        slots->leave(waiting, AdmissionController::End::NotSent);
     }
-    BOOST_TEST(line->running() == 0U);
+    BOOST_TEST(slots->running() == 0U);
 }
 
-// A caller that leaves while its call waits takes it out of the line at once.
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesTheLineIsGone)
+// A waiting call whose caller disconnects leaves the queue at once.
+BOOST_AUTO_TEST_CASE(ACancelledCallLeavesTheQueue)
 {
     auto running = call(Milliseconds(30000));
     enter(running, first, firstEntered);
@@ -140,15 +139,15 @@
     second.cancellation().cancel();
     runReady();
     BOOST_TEST(!secondEntered.value());
-    BOOST_TEST(line->waiting() == 0U);
-    line->leave(running, AdmissionController::End::Answered);
-    BOOST_TEST(line->running() == 0U);
+    BOOST_TEST(slots->waiting() == 0U);
+    slots->leave(running, AdmissionController::End::Answered);
+    BOOST_TEST(slots->running() == 0U);
 }
 
-// A call that can't be answered within its objective behind the one that runs
-// is refused without waiting: another target, or its caller's next try, may
-// still be in time.
-BOOST_AUTO_TEST_CASE(RefusesAtOnceWhatCannotBeInTime)
+// A call that cannot be answered within its objective after the running one is rejected without
+// waiting: another target, or its caller's next attempt, may still be in time. A nested call waits
+// nevertheless.
+BOOST_AUTO_TEST_CASE(RejectsAtOnceCallsThatCannotBeInTime)
 {
     auto running = call(Milliseconds(30000));
     enter(running, first, firstEntered);
@@ -157,12 +156,12 @@
     enter(urgent, second, secondEntered);
     runReady();
     BOOST_TEST(!secondEntered.value());
-    auto inner = call(Milliseconds(10));
-    inner.terms.forRunningCall = true;
-    std::optional<bool> innerEntered;
-    enter(inner, second, innerEntered);
+    auto nested = call(Milliseconds(10));
+    nested.terms.forRunningCall = true;
+    std::optional<bool> nestedEntered;
+    enter(nested, second, nestedEntered);
     runReady();
-    BOOST_TEST(!innerEntered.has_value());
+    BOOST_TEST(!nestedEntered.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/daemon/attemptconnection.h
+++ b/src/daemon/attemptconnection.h
@@ -4,9 +4,8 @@
 
 namespace Galenahill {
 
-// The caller's connection as one attempt sees it. The attempt can be cancelled
-// without the caller, and is cancelled with it. The caller's connection must
-// outlive this one.
+// The caller's connection as one attempt sees it. The attempt can be cancelled on its own, and is
+// cancelled with the caller. The caller's connection must outlive this object.
 class AttemptConnection : public ServerConnection
 {
 public:
@@ -22,8 +21,8 @@
     BodySource *requestBody() override;
     asio::awaitable<void> sendStreamed(HttpResponse response, BodySource &rest) override;
 
-    // Whether the answer is being sent to the caller, so that it is too late
-    // for another attempt.
+    // Whether a streamed response to the caller has started, so that another attempt is no longer
+    // possible.
     bool answering() const;
 
 private:
--- a/src/daemon/bodyintake.cpp
+++ b/src/daemon/bodyintake.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Longest body that is held, and all of them together: with the few that the link
-// carries at once, more would mean that the target has stopped taking calls.
-constexpr std::uint64_t MaxHeldBody = 1024 * 1024;
-constexpr std::uint64_t MaxHeldBodies = 16 * 1024 * 1024;
+// Longest body that is buffered, and limit for all of them together. Since the link carries only a few
+// bodies at a time, a higher total would mean that the target has stopped accepting calls.
+constexpr std::uint64_t MaxBufferedBody = 1024 * 1024;
+constexpr std::uint64_t MaxBufferedBodies = 16 * 1024 * 1024;
 
 constexpr std::size_t PartBytes = 64 * 1024;
 
@@ -17,24 +17,24 @@
 
 BodyIntake::BodyIntake(asio::io_context &context, LinkSchedule::Options link, SlotLine &slots)
     : m_slots(slots)
-    , m_line(std::make_shared<BodyLine>(context, link))
+    , m_queue(std::make_shared<BodyLine>(context, link))
 {
 }
 
 bool BodyIntake::takes(const BodySource *body)
 {
-    return body != nullptr && body->length() && *body->length() > 0 && *body->length() <= MaxHeldBody;
+    return body != nullptr && body->length() && *body->length() > 0 && *body->length() <= MaxBufferedBody;
 }
 
-// One that may not wait is offered elsewhere first, unless it can come at once. One
-// that may comes to an idle target even if its answer is expected late: refused, it
-// would leave slots empty, and no answer would ever correct what is expected.
-bool BodyIntake::mayCome(const SlotCall &call, std::uint64_t length, TimePoint arrival) const
+// A call that may not wait is rejected, to be offered elsewhere first, unless its body can start at
+// once. A call that may wait is accepted by an idle target even if its response is expected late: if
+// it were rejected, slots would stay empty and no response would ever correct the estimate.
+bool BodyIntake::mayReceive(const SlotCall &call, std::uint64_t length, TimePoint arrival) const
 {
-    if (m_heldBytes + length > MaxHeldBodies) {
+    if (m_bufferedBytes + length > MaxBufferedBodies) {
         return false;
     }
-    const bool idle = m_line->free() && m_slots.running() < m_slots.limit();
+    const bool idle = m_queue->free() && m_slots.running() < m_slots.limit();
     const bool inTime = m_slots.canStartAt(call, arrival);
     return call.terms.mayWait ? idle || inTime : idle && inTime;
 }
@@ -43,21 +43,21 @@
 {
     auto &body = *connection.requestBody();
     const auto length = *body.length();
-    Outcome outcome{.arrival = m_line->arrival(length)};
-    if (!mayCome(call, length, outcome.arrival)) {
+    Outcome outcome{.arrival = m_queue->arrival(length)};
+    if (!mayReceive(call, length, outcome.arrival)) {
         co_return outcome;
     }
-    const bool entered = co_await m_line->enter(length, connection);
+    const bool entered = co_await m_queue->enter(length, connection);
     if (!entered) {
-        outcome.arrival = m_line->arrival(length);
+        outcome.arrival = m_queue->arrival(length);
         co_return outcome;
     }
-    m_heldBytes += length;
+    m_bufferedBytes += length;
     call.heldBytes = length;
     outcome.error = co_await read(request, body);
-    m_line->leave();
+    m_queue->leave();
     outcome.end = outcome.error ? End::CutOff : End::Here;
-    // Elsewhere the body would have to come once more.
+    // Another sidecar would have to receive the body again, so the call waits here.
     call.terms.mayWait = true;
     call.terms.waitLeft.reset();
     co_return outcome;
@@ -75,12 +75,12 @@
 
 void BodyIntake::release(std::uint64_t bytes)
 {
-    m_heldBytes -= bytes;
+    m_bufferedBytes -= bytes;
 }
 
 void BodyIntake::refuseWaiting()
 {
-    m_line->refuseWaiting();
+    m_queue->refuseWaiting();
 }
 
 }
--- a/src/daemon/bodyintake.h
+++ b/src/daemon/bodyintake.h
@@ -5,16 +5,15 @@
 
 namespace Galenahill {
 
-// Takes the bodies of calls whole before the calls get a slot of the target: the
-// target would else hold the slot for the time that a slow link needs. Bodies that
-// are too long to be held are left to be passed on while they arrive. Used on the
-// data thread only.
+// Buffers the bodies of calls before the calls take a slot of the target; otherwise a call would hold
+// its slot for as long as its body takes on a slow link. Bodies that are too long to be buffered are
+// left to be streamed to the target. Used on the data thread only.
 class BodyIntake
 {
 public:
     enum class End {
         Here,
-        // Nothing of it came; it couldn't be here in time.
+        // The body could not arrive in time; no part of it was received.
         Refused,
         CutOff,
     };
@@ -22,33 +21,32 @@
     struct Outcome
     {
         End end = End::Refused;
-        // When it would have been here.
+        // Expected time at which the body would have been complete.
         TimePoint arrival;
         ErrorCode error;
     };
 
     BodyIntake(asio::io_context &context, LinkSchedule::Options link, SlotLine &slots);
 
-    // Whether the call has a body that is taken here; null: it has none to come.
+    // Whether the body is to be buffered here. Null means that no part of the body is still to arrive.
     static bool takes(const BodySource *body);
 
-    // Lets the body come once the link is free for it, if the call can then still
-    // be in time.
+    // Receives the body once the link has capacity for it, if the call can then still be in time.
     asio::awaitable<Outcome> take(HttpRequest &request, SlotCall &call, ServerConnection &connection);
 
-    // The call of that length is over.
+    // Releases the memory of a buffered body of that length, at the end of its call.
     void release(std::uint64_t bytes);
 
-    // Refuses the bodies that wait for the link.
+    // Rejects the bodies that wait for the link.
     void refuseWaiting();
 
 private:
-    bool mayCome(const SlotCall &call, std::uint64_t length, TimePoint arrival) const;
+    bool mayReceive(const SlotCall &call, std::uint64_t length, TimePoint arrival) const;
     static asio::awaitable<ErrorCode> read(HttpRequest &request, BodySource &body);
 
     SlotLine &m_slots;
-    std::shared_ptr<BodyLine> m_line;
-    std::uint64_t m_heldBytes = 0;
+    std::shared_ptr<BodyLine> m_queue;
+    std::uint64_t m_bufferedBytes = 0;
 };
 
 }
--- a/src/daemon/bodyline.cpp
+++ b/src/daemon/bodyline.cpp
@@ -45,7 +45,7 @@
     m_schedule.wait(bytes);
     connection.cancellation().setHook([weak = weak_from_this(), waiter] {
         if (const auto self = weak.lock()) {
-            self->drop(waiter);
+            self->remove(waiter);
         }
     });
     ErrorCode ignored;
@@ -64,14 +64,15 @@
 {
     while (!m_waiting.empty() && m_schedule.free()) {
         const auto next = m_waiting.front();
-        drop(next);
+        remove(next);
         next->admitted = true;
         m_schedule.begin(next->bytes, Clock::now());
     }
 }
 
-// Takes the body out of the line; it isn't let in unless told so.
-void BodyLine::drop(const std::shared_ptr<Waiter> &waiter)
+// Removes the body from the queue and resumes its waiter, which counts as rejected unless `admitted`
+// is set.
+void BodyLine::remove(const std::shared_ptr<Waiter> &waiter)
 {
     const auto found = std::find(m_waiting.begin(), m_waiting.end(), waiter);
     if (found != m_waiting.end()) {
@@ -84,7 +85,7 @@
 void BodyLine::refuseWaiting()
 {
     while (!m_waiting.empty()) {
-        drop(m_waiting.front());
+        remove(m_waiting.front());
     }
 }
 
--- a/src/daemon/bodyline.h
+++ b/src/daemon/bodyline.h
@@ -8,33 +8,32 @@
 
 namespace Galenahill {
 
-// The bodies that other nodes want to send to this one, and the line before its
-// link. In order of arrival. Used on the data thread only.
+// Queue of the request bodies that other nodes offer to send over this VM's inbound link, in order of
+// arrival. Used on the data thread only.
 class BodyLine : public std::enable_shared_from_this<BodyLine>
 {
 public:
     BodyLine(asio::io_context &context, LinkSchedule::Options options);
 
-    // Whether a body could begin at once, and when one of that size that came
-    // now would be here.
+    // Whether a body could start at once, and the expected time at which a body of that size, offered
+    // now, would be complete.
     bool free() const;
     TimePoint arrival(std::uint64_t bytes) const;
 
-    // Waits until the body may come; false if it was refused, or the
-    // caller has gone.
+    // Waits until the body may start. Returns false if it was rejected or its caller disconnected.
     asio::awaitable<bool> enter(std::uint64_t bytes, ServerConnection &connection);
 
-    // The body has come, or won't come.
+    // Records that a body has arrived or was cut off.
     void leave();
 
-    // Refuses the bodies that wait.
+    // Rejects the bodies that wait.
     void refuseWaiting();
 
 private:
     struct Waiter;
 
     void admitNext();
-    void drop(const std::shared_ptr<Waiter> &waiter);
+    void remove(const std::shared_ptr<Waiter> &waiter);
 
     asio::io_context &m_context;
     LinkSchedule m_schedule;
--- a/src/daemon/callmessages.cpp
+++ b/src/daemon/callmessages.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-// Until a call that may have run should be asked about again.
+// Seconds after which a caller should check a call that may have run.
 constexpr const char *UnknownRetryAfter = "1";
-constexpr std::size_t TermsParts = 6;
+constexpr std::size_t TermsFields = 6;
 constexpr const char *NoWait = "no-wait";
-constexpr const char *RunningCall = "inner";
+constexpr const char *NestedCall = "inner";
 constexpr const char *Repeat = "repeat";
 constexpr const char *InternalPrefix = "Galenahill-";
 
-// The number that the text spells, if it spells nothing else.
+// Parses a number that makes up the whole text.
 template <typename Number>
-std::optional<Number> wholeNumber(std::string_view text)
+std::optional<Number> parseNumber(std::string_view text)
 {
     Number value = 0;
     const auto *end = text.data() + text.size();
@@ -34,7 +34,7 @@
     return whole ? std::optional(value) : std::nullopt;
 }
 
-// The fields that the sender names as meant for the next hop only.
+// Header fields that the sender lists as hop-by-hop in Connection.
 std::vector<std::string> listedInConnection(const http::fields &fields)
 {
     std::vector<std::string> names;
@@ -49,10 +49,10 @@
 
 }
 
-void stripFields(http::fields &fields, const CallDialect &dialect)
+void stripFields(http::fields &fields, const CallDialect &headerNames)
 {
-    const auto travels = [&dialect](boost::beast::string_view name) {
-        for (const auto &kept : {dialect.requestId, dialect.answerProof, dialect.targetId}) {
+    const auto endToEnd = [&headerNames](boost::beast::string_view name) {
+        for (const auto &kept : {headerNames.requestId, headerNames.answerProof, headerNames.targetId}) {
             if (!kept.empty() && boost::algorithm::iequals(name, kept)) {
                 return true;
             }
@@ -72,7 +72,7 @@
         fields.erase(field);
     }
     for (auto field = fields.begin(); field != fields.end();) {
-        const bool internal = boost::algorithm::istarts_with(field->name_string(), InternalPrefix) && !travels(field->name_string());
+        const bool internal = boost::algorithm::istarts_with(field->name_string(), InternalPrefix) && !endToEnd(field->name_string());
         field = internal ? fields.erase(field) : std::next(field);
     }
 }
@@ -96,31 +96,31 @@
 std::optional<std::int64_t> timeoutHeader(const HttpRequest &request, const std::string &name)
 {
     const auto text = request[name];
-    return wholeNumber<std::int64_t>({text.data(), text.size()});
+    return parseNumber<std::int64_t>({text.data(), text.size()});
 }
 
 CallTerms termsHeader(const HttpRequest &request)
 {
     const auto field = request[CallHeaders::Terms];
     std::string_view text(field.data(), field.size());
-    std::array<std::string_view, TermsParts> parts;
+    std::array<std::string_view, TermsFields> parts;
     std::size_t count = 0;
-    for (; count < TermsParts && !text.empty(); ++count) {
+    for (; count < TermsFields && !text.empty(); ++count) {
         const auto end = std::min(text.find(';'), text.size());
         parts[count] = text.substr(0, end);
         text.remove_prefix(std::min(end + 1, text.size()));
     }
     CallTerms terms;
-    if (count + 1 < TermsParts) {
+    if (count + 1 < TermsFields) {
         return terms;
     }
-    terms.priority = wholeNumber<std::uint32_t>(parts[0]).value_or(0);
-    if (const auto left = wholeNumber<std::int64_t>(parts[1])) {
+    terms.priority = parseNumber<std::uint32_t>(parts[0]).value_or(0);
+    if (const auto left = parseNumber<std::int64_t>(parts[1])) {
         terms.objectiveLeft = Milliseconds(*left);
     }
     terms.mayWait = parts[2] != NoWait;
-    terms.forRunningCall = parts[3] == RunningCall;
-    if (const auto left = wholeNumber<std::int64_t>(parts[4])) {
+    terms.forRunningCall = parts[3] == NestedCall;
+    if (const auto left = parseNumber<std::int64_t>(parts[4])) {
         terms.waitLeft = Milliseconds(*left);
     }
     terms.repeat = parts[5] == Repeat;
@@ -134,7 +134,7 @@
         terms.priority,
         text(terms.objectiveLeft),
         terms.mayWait ? "wait" : NoWait,
-        terms.forRunningCall ? RunningCall : "",
+        terms.forRunningCall ? NestedCall : "",
         text(terms.waitLeft),
         terms.repeat ? Repeat : "");
 }
@@ -142,7 +142,7 @@
 std::optional<Milliseconds> waitHeader(const HttpResponse &response)
 {
     const auto field = response[CallHeaders::WaitMs];
-    const auto wait = wholeNumber<std::int64_t>({field.data(), field.size()});
+    const auto wait = parseNumber<std::int64_t>({field.data(), field.size()});
     return wait ? std::optional(Milliseconds(*wait)) : std::nullopt;
 }
 
@@ -170,8 +170,8 @@
     if (slash == std::string_view::npos) {
         return std::nullopt;
     }
-    const auto calls = wholeNumber<std::uint32_t>(text.substr(0, slash));
-    const auto limit = wholeNumber<std::uint32_t>(text.substr(slash + 1));
+    const auto calls = parseNumber<std::uint32_t>(text.substr(0, slash));
+    const auto limit = parseNumber<std::uint32_t>(text.substr(slash + 1));
     return calls && limit ? std::optional(TargetLoad{*calls, *limit}) : std::nullopt;
 }
 
--- a/src/daemon/callmessages.h
+++ b/src/daemon/callmessages.h
@@ -11,61 +11,61 @@
 
 namespace Galenahill {
 
-// What an ingress tells a sidecar about a call beside its deadline.
+// Scheduling parameters of a call that an ingress passes to a sidecar along with the deadline.
 struct CallTerms
 {
-    // Rank among the calls that wait for the target; zero goes first.
+    // Priority among the calls that wait for the target; zero goes first.
     std::uint32_t priority = 0;
-    // Time within which the call should be answered; nothing: no objective.
+    // Time left of the latency objective; empty if there is none.
     std::optional<Milliseconds> objectiveLeft;
-    // Whether the call may wait for a slot. Else it is refused if none is free,
-    // and goes to another target first.
+    // Whether the call may wait for a slot. If not and no slot is free, the sidecar rejects it and the
+    // ingress offers it to other targets first.
     bool mayWait = true;
-    // How long it may wait, given what it has waited elsewhere; nothing: as long as
-    // it can still be in time.
+    // How long the call may wait here, after its waits at other sidecars. If empty, only its objective
+    // and deadline limit the wait.
     std::optional<Milliseconds> waitLeft;
-    // Whether a call that a target is running waits for this one. Refused, it
-    // would waste what that target has done.
+    // Whether this is a nested call of a call that a target is running. Rejecting it would waste the
+    // work done for its parent call.
     bool forRunningCall = false;
-    // Whether the call may have run before, or is made by a run of which that holds.
+    // Whether the call or one of the calls that it is nested in is a retry of a call that may have run.
     bool repeat = false;
 
     friend bool operator==(const CallTerms &, const CallTerms &) = default;
 };
 
-// Removes the fields that belong to one connection and those that only nodes
-// may set, so that neither a caller nor a target can forge them. Fields of the
-// dialect that travel from caller to target, or back, are kept.
-void stripFields(http::fields &fields, const CallDialect &dialect = {});
+// Removes the hop-by-hop header fields and those that only nodes may set, so that neither a caller
+// nor a target can forge them. Keeps the platform's end-to-end fields.
+void stripFields(http::fields &fields, const CallDialect &headerNames = {});
 
-// The final answer to a call that certainly didn't run, with the time after
-// which to come back.
+// Response for a call that certainly did not run, with the time after which to retry it.
 HttpResponse notRunResponse(http::status status, const std::string &kind, const std::string &message, Milliseconds retryAfter = Milliseconds(1000));
 
-// The final answer to a call that may have run.
+// Response for a call that may have run.
 HttpResponse outcomeUnknownResponse(const std::string &message, http::status status = http::status::gateway_timeout);
 
-// The time left by that header of the call, or nothing if it has none or it
-// isn't a number.
+// Parses the time left, in milliseconds, from the given header field; empty if it is missing or not a
+// number.
 std::optional<std::int64_t> timeoutHeader(const HttpRequest &request, const std::string &name = CallHeaders::TimeoutMs);
 
-// The terms of the call; the defaults if it has none or they are malformed.
+// Parses and formats the scheduling parameters. They have their defaults if the field is missing or
+// has too few parts.
 CallTerms termsHeader(const HttpRequest &request);
 std::string formatTerms(const CallTerms &terms);
 
-// The wait for a slot that a sidecar's refusal tells, if any.
+// Parses the expected wait for a slot from a sidecar's response, if it reports one.
 std::optional<Milliseconds> waitHeader(const HttpResponse &response);
 
-// The services that runs of the call's route call, by a sidecar's answer.
+// Parses and formats the services that calls of the route make nested calls to, as a sidecar's
+// response reports them.
 std::vector<ServiceName> callsHeader(const HttpResponse &response);
 std::string formatCalls(const std::vector<ServiceName> &services);
 
-// The load in a sidecar's answer; nothing if it isn't there or malformed.
+// Parses and formats the load in a sidecar's response; empty if it is missing or malformed.
 std::optional<TargetLoad> loadHeader(const HttpResponse &response);
 std::string formatLoad(TargetLoad load);
 
-// Whether the answer says that the call didn't run, that it was sent to the
-// target and the target says that it didn't run, or that it may have run.
+// Whether the response states that the target got the call and did not run it, that the call did not
+// run for this or any other reason, or that it may have run.
 bool saysNotRunByTarget(const HttpResponse &response);
 bool saysNotRun(const HttpResponse &response);
 bool saysOutcomeUnknown(const HttpResponse &response);
--- a/src/daemon/callrouter.cpp
+++ b/src/daemon/callrouter.cpp
@@ -9,27 +9,25 @@
 
 namespace {
 
-// Share of its objective that a call waits for slots at most, at all sidecars
-// together. Bounds queueing delay: a longer queue adds latency without adding
-// throughput.
+// Largest share of its latency objective that a call spends waiting for slots, at all sidecars
+// together. Bounds the queueing delay: a longer queue adds latency without adding throughput.
 constexpr double MaxWaitShare = 0.15;
 
-// Longer wait that a call with a large body takes rather than cross to another data
-// centre.
-constexpr Milliseconds LargeCrossing{120};
+// Additional wait in the local data centre that is preferred to sending a large body to a remote one.
+constexpr Milliseconds LargeBodyCrossing{120};
 
-// Sidecars of a version under test that are offered a call.
-constexpr std::size_t MaxTrialOffers = 2;
+// Largest number of sidecars of a canary version that a call is offered to.
+constexpr std::size_t MaxCanaryOffers = 2;
 
-// Sidecars that are offered a repeat.
-constexpr std::uint32_t MaxRepeatOffers = 2;
+// Largest number of sidecars that the retries of a call are offered to.
+constexpr std::uint32_t MaxRetryOffers = 2;
 
 }
 
 CallRouter::CallRouter(Options options)
     : m_options(std::move(options))
     , m_picker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy})
-    , m_largePicker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy, .crossing = LargeCrossing})
+    , m_largePicker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy, .crossing = LargeBodyCrossing})
 {
 }
 
@@ -52,10 +50,10 @@
     call.ofRepeat ? budget.spend() : budget.callMade();
 }
 
-// A repeated run makes its calls again, and they count as repeats where they go. While
-// those services can't bear any, the repeat would take from the calls that are tried
-// there for the first time.
-bool CallRouter::calledCanBear(const IngressCall &call)
+// A retried call makes its nested calls again, and these count as retries at the services that they
+// go to. If those services have no retry budget left, the retry would take capacity from calls that
+// are tried there for the first time.
+bool CallRouter::nestedCallsHaveBudget(const IngressCall &call)
 {
     if (!m_options.calledBy) {
         return true;
@@ -99,19 +97,20 @@
     return m_retries.try_emplace(service, m_options.retries).first->second;
 }
 
-// Only one node in a tree of calls repeats what may have run: with seven
-// layers that each try three times, one failure would become two thousand
-// calls. What certainly didn't run is retried by the layer that was refused.
+// Only one node in a call tree retries calls that may have run: with seven layers that each try
+// three times, one failure would become two thousand calls. A call that certainly did not run is
+// retried by the layer whose call was rejected.
 bool CallRouter::mayRepeat(const IngressCall &call) const
 {
     return call.route->idempotent() && !call.retriedAbove && call.uncertain < std::min(call.route->retries, ConfigLimits::MaxRetries);
 }
 
-// Whether the call goes on to another sidecar. A sidecar's refusal costs the
-// targets nothing, so only sends to a target draw on the budget.
-bool CallRouter::mayRetry(IngressCall &call, AttemptEnd end)
+// A rejection by a sidecar costs the targets nothing, so only attempts that reached a target draw on
+// the budget.
+bool CallRouter::mayRetry(IngressCall &call, AttemptEnd outcome)
 {
-    // Nobody waits for the answer, or a part of the body is gone for good.
+    // Either nobody waits for the response, or a part of the streamed body has been consumed and
+    // cannot be sent again.
     const auto *body = call.connection.requestBody();
     if (call.connection.cancellation().cancelled() || (body != nullptr && body->taken())) {
         return false;
@@ -119,16 +118,16 @@
     if (Clock::now() >= call.deadline) {
         return false;
     }
-    if (!isSent(end)) {
+    if (!isSent(outcome)) {
         return true;
     }
     if (call.sent >= call.route->maxTargets) {
         return false;
     }
-    if (mayHaveRun(end)) {
-        // Only here could a call run twice: what may have run is repeated
-        // only if the route says that repeating does no harm.
-        if (!mayRepeat(call) || !calledCanBear(call)) {
+    if (mayHaveRun(outcome)) {
+        // The only place where a call could run twice: a call that may have run is retried only if
+        // its route is idempotent.
+        if (!mayRepeat(call) || !nestedCallsHaveBudget(call)) {
             return false;
         }
         ++call.uncertain;
@@ -141,18 +140,18 @@
     return true;
 }
 
-void CallRouter::attemptEnded(IngressCall &call, AttemptEnd end)
+void CallRouter::attemptEnded(IngressCall &call, AttemptEnd outcome)
 {
-    if (isSent(end)) {
+    if (isSent(outcome)) {
         ++call.sent;
         call.holdsRepeat = false;
-        // Whatever follows doesn't go to the version under test.
+        // Further attempts do not go to the canary version.
         call.trial = nullptr;
     }
 }
 
-// A repeat that found no room cost the targets nothing, and another call can
-// have it.
+// A retry that found no free slot cost the targets nothing, so it is returned to the budget for
+// another call.
 void CallRouter::callEnded(IngressCall &call)
 {
     if (std::exchange(call.holdsRepeat, false)) {
@@ -163,10 +162,10 @@
 Choice CallRouter::choose(IngressCall &call)
 {
     if (call.uncertain > 0) {
-        return chooseToRepeat(call);
+        return chooseForRetry(call);
     }
     if (call.trial != nullptr) {
-        if (const auto choice = chooseOnTrial(call); choice.target != nullptr) {
+        if (const auto choice = chooseCanary(call); choice.target != nullptr) {
             return choice;
         }
         call.trial = nullptr;
@@ -175,15 +174,16 @@
     return nextOffer(pickerFor(call),
         call.view->targetsOf(call.service),
         call.offers,
-        {.dataCentre = m_options.dataCentre, .first = ownTarget(call), .crossesUnasked = !call.large},
+        {.dataCentre = m_options.dataCentre, .first = localTarget(call), .crossesUnasked = !call.large},
         Clock::now());
 }
 
-// A version under test takes what it has room for, and its calls wait for nothing.
-Choice CallRouter::chooseOnTrial(IngressCall &call)
+// Calls do not wait for a slot of the canary version: without a free slot they go to the other
+// targets.
+Choice CallRouter::chooseCanary(IngressCall &call)
 {
     auto &asked = call.offers.asked;
-    if (asked.size() >= MaxTrialOffers) {
+    if (asked.size() >= MaxCanaryOffers) {
         return {};
     }
     const auto *target = pickerFor(call).selectForQueueing(call.trial->targets, asked, Clock::now());
@@ -193,15 +193,17 @@
     return {target, false};
 }
 
-// The target on this VM: a large body needs no link to it.
-const MemberRecord *CallRouter::ownTarget(const IngressCall &call) const
+// The local target for a call with a large body, which then needs no network link; null for other
+// calls, or if there is none.
+const MemberRecord *CallRouter::localTarget(const IngressCall &call) const
 {
     const auto &targets = call.view->targetsOf(call.service);
-    const auto own = std::find_if(targets.begin(), targets.end(), [this](const auto &target) { return target.name == m_options.node; });
-    return call.large && own != targets.end() ? &*own : nullptr;
+    const auto local = std::find_if(targets.begin(), targets.end(), [this](const auto &target) { return target.name == m_options.node; });
+    return call.large && local != targets.end() ? &*local : nullptr;
 }
 
-// A running call needs the answer, late or not, or all its work is lost.
+// A nested call has no limit: without its response, even a late one, the work of its parent call is
+// lost.
 std::optional<Milliseconds> CallRouter::waitLeft(const IngressCall &call) const
 {
     const auto objective = call.route->sloLatency;
@@ -212,12 +214,11 @@
     return std::max(std::chrono::duration_cast<Milliseconds>(until - Clock::now()), Milliseconds(0));
 }
 
-// A repeat goes only where there is room: under overload it would take the
-// slot of a call that hasn't been tried yet. It doesn't go back to the target
-// that failed it.
-Choice CallRouter::chooseToRepeat(IngressCall &call)
+// A retry goes only to a target with a free slot: under overload it would take the slot of a call
+// that has not been tried yet. It does not go back to the target that failed it.
+Choice CallRouter::chooseForRetry(IngressCall &call)
 {
-    if (call.repeatsOffered >= MaxRepeatOffers) {
+    if (call.repeatsOffered >= MaxRetryOffers) {
         return {};
     }
     const auto *target = pickerFor(call).pick(call.view->targetsOf(call.service), call.notToRepeatAt, Clock::now(), true);
@@ -228,24 +229,24 @@
     return {target, false};
 }
 
-// A stopping node leaves running attempts alone: it would have no time left to
-// make good for a repeat that fails.
+// A node that is stopping does not cancel running attempts: if the retry failed, there would be no
+// time left for another one.
 bool CallRouter::canRepeatElsewhere(const IngressCall &call)
 {
     const auto *body = call.connection.requestBody();
-    const bool bodyGone = body != nullptr && body->taken();
-    if (m_stopping || bodyGone || call.sent + 1 >= call.route->maxTargets || call.repeatsOffered >= MaxRepeatOffers) {
+    const bool bodyConsumed = body != nullptr && body->taken();
+    if (m_stopping || bodyConsumed || call.sent + 1 >= call.route->maxTargets || call.repeatsOffered >= MaxRetryOffers) {
         return false;
     }
-    if (!budgetOf(call.service).hasOne() || !calledCanBear(call)) {
+    if (!budgetOf(call.service).hasOne() || !nestedCallsHaveBudget(call)) {
         return false;
     }
-    auto passedOver = call.notToRepeatAt;
-    passedOver.push_back(call.lastTarget);
-    return pickerFor(call).roomElsewhere(call.view->targetsOf(call.service), passedOver, Clock::now());
+    auto excluded = call.notToRepeatAt;
+    excluded.push_back(call.lastTarget);
+    return pickerFor(call).roomElsewhere(call.view->targetsOf(call.service), excluded, Clock::now());
 }
 
-void CallRouter::learn(const IngressCall &call, const NodeName &target, AttemptEnd end, const Result<HttpResponse> &response)
+void CallRouter::learn(const IngressCall &call, const NodeName &target, AttemptEnd outcome, const Result<HttpResponse> &response)
 {
     const auto now = Clock::now();
     auto &picker = pickerFor(call);
@@ -253,7 +254,7 @@
     if (load) {
         picker.reported(target, *load, now);
     }
-    switch (end) {
+    switch (outcome) {
     case AttemptEnd::Answered:
         picker.succeeded(call.service, target);
         break;
@@ -264,7 +265,7 @@
         picker.failed(call.service, target, now);
         break;
     case AttemptEnd::NotRun:
-        // Back-off after a refusal that carried no load report.
+        // A rejection without a load report says nothing of when slots are free, so back off.
         if (!load) {
             picker.backOff(target, now);
         }
--- a/src/daemon/callrouter.h
+++ b/src/daemon/callrouter.h
@@ -12,8 +12,8 @@
 
 namespace Galenahill {
 
-// Decides for an ingress where a call goes next, and whether it goes on after
-// an attempt.
+// Selects the sidecars that an ingress offers a call to, and decides whether a call gets another
+// attempt.
 class CallRouter
 {
 public:
@@ -23,65 +23,66 @@
         DataCentre dataCentre;
         std::uint64_t seed = 1;
         CallPolicy policy;
-        // Repeats of what may have run, for each service.
+        // Budget of each service for retries of calls that may have run.
         RetryBudget::Options retries;
-        // The services that runs of the route call. May be null.
+        // Returns the services that calls of the route make nested calls to. May be null.
         std::function<const std::vector<ServiceName> &(const RouteName &route)> calledBy;
     };
 
     explicit CallRouter(Options options);
 
-    // Bounds the repeats for each service from now on.
+    // Changes the retry budget of each service.
     void setRetryBudget(RetryBudget::Options options);
 
-    // This node is about to stop: no running attempt is given up any more.
+    // Prepares for the node's shutdown: running attempts are no longer cancelled in favour of a retry.
     void stop();
 
-    // The call came. It earns its service a part of a repeat, or is one itself.
+    // Records the start of a call. It adds to its service's retry budget, or draws on it if its parent
+    // call is a retry.
     void callMade(const IngressCall &call);
 
-    // The sidecar to ask next; none if the call has been offered enough.
+    // Returns the sidecar to offer the call to next, with a null target if there is none left.
     Choice choose(IngressCall &call);
 
-    // How long the call may still wait for a slot; nothing: as long as it can be in
-    // time.
+    // Returns how long the call may still wait for a slot. If empty, only its objective and deadline
+    // limit the wait.
     std::optional<Milliseconds> waitLeft(const IngressCall &call) const;
 
-    // Whether the call may be sent again though it may have run.
+    // Whether the call may be sent again even if an earlier attempt may have run it.
     bool mayRepeat(const IngressCall &call) const;
 
-    // An attempt of the call ended so.
-    void attemptEnded(IngressCall &call, AttemptEnd end);
+    // Records the outcome of an attempt of the call.
+    void attemptEnded(IngressCall &call, AttemptEnd outcome);
 
-    // No further attempt follows.
+    // Records that no further attempt follows.
     void callEnded(IngressCall &call);
 
-    // Whether the call goes on to another sidecar after an attempt that ended
-    // so; takes a repeat out of the budget if that is one.
-    bool mayRetry(IngressCall &call, AttemptEnd end);
+    // Whether the call gets another attempt after one with this outcome. Takes the retry from the
+    // budget if it counts as one.
+    bool mayRetry(IngressCall &call, AttemptEnd outcome);
 
-    // Whether the call could be repeated now at a target with room.
+    // Whether another target has a free slot for a retry of the call now, and a retry is allowed.
     bool canRepeatElsewhere(const IngressCall &call);
 
-    // An attempt at the target began, ended, or told what it knows.
+    // Record the start and the end of an attempt at the target, and what is learnt of its load.
     void begin(const IngressCall &call, const NodeName &target);
     void end(const IngressCall &call, const NodeName &target);
     void updateExpectedWait(const IngressCall &call, const NodeName &target, Milliseconds wait);
     void loadObserved(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
     void poolObserved(const PoolReport &pool, TimePoint observed);
-    void learn(const IngressCall &call, const NodeName &target, AttemptEnd end, const Result<HttpResponse> &response);
+    void learn(const IngressCall &call, const NodeName &target, AttemptEnd outcome, const Result<HttpResponse> &response);
 
 private:
     RetryBudget &budgetOf(const ServiceName &service);
-    bool calledCanBear(const IngressCall &call);
-    Choice chooseToRepeat(IngressCall &call);
-    Choice chooseOnTrial(IngressCall &call);
-    const MemberRecord *ownTarget(const IngressCall &call) const;
+    bool nestedCallsHaveBudget(const IngressCall &call);
+    Choice chooseForRetry(IngressCall &call);
+    Choice chooseCanary(IngressCall &call);
+    const MemberRecord *localTarget(const IngressCall &call) const;
     TargetPicker &pickerFor(const IngressCall &call);
 
     Options m_options;
-    // What is known of the targets for small calls, and for those with large
-    // bodies: these wait for the targets' links as well.
+    // State of the targets as calls with small bodies and calls with large bodies see it. The latter
+    // also wait for the inbound link of the target's VM.
     TargetPicker m_picker;
     TargetPicker m_largePicker;
     std::unordered_map<ServiceName, RetryBudget> m_retries;
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-// Bytes of a failed attempt's answer that go into the log.
+// Longest part of a failed attempt's response body that is logged.
 constexpr std::size_t MaxReasonBytes = 120;
 
-// A body above this takes a slow link longer than a round trip between data centres.
+// A longer body takes more time on a slow link than a round trip between data centres.
 constexpr std::size_t LargeBodyBytes = 4096;
 
-// How often a call that has waited long for its target looks for another one
-// with room. Slots come free every few milliseconds to some tens of them.
-constexpr Milliseconds RepeatCheckInterval{50};
+// Interval at which a slow attempt checks whether another target has a free slot. Slots become
+// free every few milliseconds to some tens of milliseconds.
+constexpr Milliseconds RetryCheckInterval{50};
 
 }
 
@@ -63,15 +63,15 @@
     std::uint64_t nextCall = 1;
 
     void assignVersion(IngressCall &call);
-    void takeTimes(IngressCall &call, const HttpRequest &request);
+    void setDeadlines(IngressCall &call, const HttpRequest &request);
     std::optional<RunningCall> parentOf(const CallId &id) const;
     asio::awaitable<HttpResponse> admit(IngressCall &call);
     asio::awaitable<HttpResponse> route(IngressCall &call);
     asio::awaitable<Attempt> attempt(IngressCall &call, Choice choice);
     asio::awaitable<Result<HttpResponse>> ask(IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
-    asio::awaitable<Result<HttpResponse>> askPatiently(
+    asio::awaitable<Result<HttpResponse>> askWithTimeout(
         IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
-    void cutOnceRepeatable(const IngressCall &call, AttemptConnection &connection, const std::shared_ptr<asio::steady_timer> &timer);
+    void cancelOnceRetryable(const IngressCall &call, AttemptConnection &connection, const std::shared_ptr<asio::steady_timer> &timer);
     void setSidecarFields(IngressCall &call, bool mayWait) const;
     HttpResponse refusal(const IngressCall &call);
     HttpResponse finalAnswer(IngressCall &call, Attempt last);
@@ -106,7 +106,7 @@
     d->router.poolObserved(pool, observed);
 }
 
-void Ingress::Private::takeTimes(IngressCall &call, const HttpRequest &request)
+void Ingress::Private::setDeadlines(IngressCall &call, const HttpRequest &request)
 {
     call.begin = Clock::now();
     auto timeout = call.route->timeout;
@@ -119,22 +119,22 @@
     call.deadline = call.begin + std::min(timeout, ConfigLimits::MaxTimeout);
 }
 
-// With no other target left, all calls go to the version under test.
+// Sends all calls to the canary version if the service has no other target.
 void Ingress::Private::assignVersion(IngressCall &call)
 {
-    const auto *trial = call.view->trialOf(call.service);
-    if (trial == nullptr || trial->targets.empty()) {
+    const auto *canary = call.view->trialOf(call.service);
+    if (canary == nullptr || canary->targets.empty()) {
         return;
     }
     const bool onlyOne = call.view->targetsOf(call.service).empty();
-    if (onlyOne || versions.next(call.service, trial->share)) {
-        call.trial = trial;
-        call.version = trial->version;
+    if (onlyOne || versions.next(call.service, canary->share)) {
+        call.trial = canary;
+        call.version = canary->version;
     }
 }
 
-// The id alone could be any caller's choice; that the target beside this node
-// runs a call of the id that it continues could not.
+// Callers choose ids freely, so an id that names a parent is trusted only if the local target is
+// running the parent.
 std::optional<RunningCall> Ingress::Private::parentOf(const CallId &id) const
 {
     if (!options.dialect.parentOf || !options.runningCall) {
@@ -153,7 +153,7 @@
     call.id = idField.empty() ? CallId(fmt::format("{}-{}", d->options.node.value(), d->nextCall++)) : CallId(std::string(request[idField]));
     if (!call.view || !call.view->config) {
         d->reportUnrouted(call, 0, "no configuration");
-        co_return notRunResponse(http::status::service_unavailable, "no-configuration", "this node has no configuration yet; come back or use another node");
+        co_return notRunResponse(http::status::service_unavailable, "no-configuration", "this node has no configuration yet; retry later or use another node");
     }
     const auto &snapshot = *call.view->config->snapshot;
     const std::string method(request.method_string());
@@ -162,10 +162,10 @@
         const bool otherMethod = snapshot.hasPath(pathOf(request), hostOf(request));
         const auto status = otherMethod ? http::status::method_not_allowed : http::status::not_found;
         d->reportUnrouted(
-            call, static_cast<unsigned>(status), fmt::format("no route takes {} {} {}", method, std::string(hostOf(request)), std::string(pathOf(request))));
-        co_return notRunResponse(status, "no-route", fmt::format("no route takes {} {}", method, std::string(pathOf(request))));
+            call, static_cast<unsigned>(status), fmt::format("no route matches {} {} {}", method, std::string(hostOf(request)), std::string(pathOf(request))));
+        co_return notRunResponse(status, "no-route", fmt::format("no route matches {} {}", method, std::string(pathOf(request))));
     }
-    d->takeTimes(call, request);
+    d->setDeadlines(call, request);
     call.service = d->split.next(*call.route);
     if (!call.view->trials.empty()) {
         d->assignVersion(call);
@@ -253,15 +253,16 @@
 asio::awaitable<HttpResponse> Ingress::Private::admit(IngressCall &call)
 {
     if (!routes.tryEnter(call.route->name)) {
-        co_return notRunResponse(
-            http::status::service_unavailable, "refused", fmt::format("this node holds as many calls of route {} as it may", call.route->name.value()));
+        co_return notRunResponse(http::status::service_unavailable,
+            "refused",
+            fmt::format("this node has reached its limit of concurrent calls, for route {} or in total", call.route->name.value()));
     }
-    // What a running call waits for is never refused here: its work would be lost.
+    // A nested call is never shed here: the work of its parent call would be lost.
     if (!call.forRunningCall && guard.shedLoad(*call.route, call.begin)) {
         routes.leave(call.route->name);
         ++shedCalls;
-        call.reason
-            = fmt::format("shed: {:.2f} of the more urgent calls to the services that it leads to are refused", guard.refusedAbove(*call.route, call.begin));
+        call.reason = fmt::format("shed: a share of {:.2f} of the higher-priority calls to the services that this route calls is being rejected",
+            guard.refusedAbove(*call.route, call.begin));
         co_return refusal(call);
     }
     auto response = co_await route(call);
@@ -280,7 +281,7 @@
     }
     if (call.uncertain > 0 || mayHaveRun(last.end)) {
         const bool late = Clock::now() >= call.deadline;
-        return outcomeUnknownResponse(fmt::format("call {} may have run; find out before repeating it", call.id.value()),
+        return outcomeUnknownResponse(fmt::format("call {} may have run; check its effect before retrying it", call.id.value()),
             late ? http::status::gateway_timeout : http::status::bad_gateway);
     }
     return refusal(call);
@@ -291,7 +292,7 @@
     const auto left = std::chrono::duration_cast<Milliseconds>(call.callerDeadline - Clock::now());
     return notRunResponse(http::status::service_unavailable,
         "refused",
-        fmt::format("call {} was not run: no target of {} takes it now", call.id.value(), call.service.value()),
+        fmt::format("call {} was not run: no target of {} accepts it at present", call.id.value(), call.service.value()),
         returnTime.after(call.toldWait.value_or(Milliseconds(0)), left));
 }
 
@@ -304,21 +305,21 @@
     while (choice.target != nullptr) {
         call.lastTarget = choice.target->name;
         last = co_await attempt(call, choice);
-        const auto end = last.end;
-        router.attemptEnded(call, end);
-        if (end == AttemptEnd::Answered || !router.mayRetry(call, end)) {
+        const auto outcome = last.end;
+        router.attemptEnded(call, outcome);
+        if (outcome == AttemptEnd::Answered || !router.mayRetry(call, outcome)) {
             break;
         }
-        if (end == AttemptEnd::Failed) {
+        if (outcome == AttemptEnd::Failed) {
             failed = std::move(last);
             last = Attempt();
         }
         choice = router.choose(call);
-        retriesMade += choice.target != nullptr && isSent(end) ? 1 : 0;
+        retriesMade += choice.target != nullptr && isSent(outcome) ? 1 : 0;
     }
     router.callEnded(call);
-    // A target's own answer, though a failure, tells the caller more than that
-    // no other target had room to try again, or gave no answer.
+    // An error response of a target tells the caller more than a rejection or a timeout of the
+    // retry that followed it.
     const bool answered = last.end == AttemptEnd::Answered || last.end == AttemptEnd::Failed;
     if (failed && !answered) {
         last = std::move(*failed);
@@ -370,7 +371,7 @@
     }
 }
 
-// Sends the call to the sidecar. An Unavailable error says that it wasn't sent.
+// Sends the call to the target's sidecar. An Unavailable error means that it was not sent.
 asio::awaitable<Result<HttpResponse>> Ingress::Private::ask(
     IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest)
 {
@@ -386,25 +387,24 @@
     co_return co_await options.client.exchange(sidecar, call.request, call.deadline, companions);
 }
 
-// Asks, and gives the attempt up once it has taken long and the call can be
-// repeated elsewhere.
-asio::awaitable<Result<HttpResponse>> Ingress::Private::askPatiently(
+// Sends the call as `ask` does, but cancels the attempt once it exceeds the attempt timeout and
+// another target can take a retry.
+asio::awaitable<Result<HttpResponse>> Ingress::Private::askWithTimeout(
     IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest)
 {
-    const auto patience = attempts.attemptDeadline(call.route->name, Clock::now(), call.deadline);
-    const auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor, patience);
-    cutOnceRepeatable(call, connection, timer);
+    const auto softDeadline = attempts.attemptDeadline(call.route->name, Clock::now(), call.deadline);
+    const auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor, softDeadline);
+    cancelOnceRetryable(call, connection, timer);
     co_return co_await ask(call, target, connection, rest);
 }
 
-// A target that is slow may still answer. Given up where no other target has
-// room, or the budget for repeats is used up, its work would be lost and its
-// caller would get an error in place of a late answer.
-void Ingress::Private::cutOnceRepeatable(const IngressCall &call, AttemptConnection &connection, const std::shared_ptr<asio::steady_timer> &timer)
+// A slow target may still respond. If the attempt were cancelled while no other target has a free
+// slot, or the retry budget is used up, the target's work would be lost and the caller would get an
+// error instead of a late response.
+void Ingress::Private::cancelOnceRetryable(const IngressCall &call, AttemptConnection &connection, const std::shared_ptr<asio::steady_timer> &timer)
 {
     timer->async_wait([this, &call, &connection, weak = std::weak_ptr(timer)](const ErrorCode &error) {
-        // Without its timer the attempt has ended, and call and connection with
-        // it.
+        // The attempt owns the timer: if the timer is gone, so are the call and the connection.
         const auto running = weak.lock();
         if (error || !running || connection.answering()) {
             return;
@@ -413,8 +413,8 @@
             connection.cancellation().cancel();
             return;
         }
-        running->expires_after(RepeatCheckInterval);
-        cutOnceRepeatable(call, connection, running);
+        running->expires_after(RetryCheckInterval);
+        cancelOnceRetryable(call, connection, running);
     });
 }
 
@@ -429,13 +429,13 @@
     router.begin(call, target.name);
     Attempt result;
     auto &connection = call.attemptConnection.emplace(call.connection);
-    const bool repeatable = options.policy.retryBudget && router.mayRepeat(call);
-    auto asking = repeatable ? askPatiently(call, target, connection, result.rest) : ask(call, target, connection, result.rest);
-    auto response = co_await std::move(asking);
+    const bool retryable = options.policy.retryBudget && router.mayRepeat(call);
+    auto exchange = retryable ? askWithTimeout(call, target, connection, result.rest) : ask(call, target, connection, result.rest);
+    auto response = co_await std::move(exchange);
     router.end(call, target.name);
     result.end = endOfAttempt(response, options.dialect);
     if (call.connection.cancellation().cancelled()) {
-        // The caller ended it; that says nothing about the target.
+        // The caller cancelled the call, which says nothing about the target.
         co_return result;
     }
     router.learn(call, target.name, result.end, response);
--- a/src/daemon/ingress.h
+++ b/src/daemon/ingress.h
@@ -19,37 +19,38 @@
 
 namespace Galenahill {
 
-// What became of one call and why, for the log.
+// Outcome of one call and its cause, for the log.
 struct CallReport
 {
     CallId id;
     RouteName route;
     CallType type = CallType::NonIdempotent;
     ServiceName service;
-    // The version under test that the call was assigned to; empty: none.
+    // Canary version that the call was assigned to; empty if none.
     TargetVersion version;
     Revision revision;
     CallEnd end = CallEnd::NotRun;
     unsigned status = 0;
-    // The last target asked, and how many were asked and were sent the call.
+    // The last target that the call was offered to, the number of offers to sidecars, and the number
+    // of times that the call was sent to a target.
     NodeName target;
     std::size_t asked = 0;
     std::uint32_t sent = 0;
     std::chrono::microseconds latency{0};
-    // Time left when the answer was given.
+    // Time left until the caller's deadline when the response was ready.
     Milliseconds timeLeft{0};
-    // Shortest wait for a slot that a sidecar told.
+    // Shortest expected wait for a slot that a sidecar reported.
     std::optional<Milliseconds> toldWait;
     bool cancelled = false;
-    // Whether a running call of the target beside this node waited for it.
+    // Whether this is a nested call of a call that the local target was running.
     bool forRunningCall = false;
-    // Address that the call came from.
+    // IP address of the caller.
     std::string caller;
     std::string reason;
 };
 
-// Takes calls from callers, finds the route and the target, and passes each
-// call to the sidecar beside that target. Used on the data thread only.
+// Accepts calls from callers, selects the route and the target, and forwards each call to the
+// sidecar of that target. Used on the data thread only.
 class Ingress
 {
 public:
@@ -60,57 +61,54 @@
         DataCentre dataCentre;
         std::uint64_t seed = 1;
         CallPolicy policy;
-        // Names of the fields that callers and targets use.
+        // Names of the header fields that callers and targets use.
         CallDialect dialect;
-        // Service of the VM on which this node's callers run.
+        // Service of this VM, sent along as the service that the calls come from.
         ServiceName callerService;
-        // Repeats of what may have run, for each service.
+        // Budget of each service for retries of calls that may have run.
         RetryBudget::Options retries;
-        // The sidecar of this node, which needs no connection, and where others
-        // reach it. Null: all sidecars are reached over the network.
+        // The sidecar in this process, called without a connection, and the endpoint at which other
+        // nodes reach it. If null, every sidecar is called over the network.
         Endpoint ownSidecar;
         std::function<asio::awaitable<HttpResponse>(HttpRequest request, ServerConnection &connection)> askOwnSidecar;
-        // The call of that id, if the target beside this node is running it. May
-        // be null.
+        // Returns the call with the given id if the local target is running it. May be null.
         std::function<std::optional<RunningCall>(std::string_view id)> runningCall;
-        // A run of a call of the route, by the target beside this node, makes a
-        // call to the service. May be null.
+        // Called when the local target, while it runs a call of the route, makes a nested call to the
+        // service. May be null.
         std::function<void(const RouteName &route, const ServiceName &service)> runCalled;
-        // A call of a route got its final answer.
+        // Called with the outcome of each call when its final response is ready.
         std::function<void(const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency)> callEnded;
-        // The same in all detail; may be null.
+        // Called with the full details of each call. May be null.
         std::function<void(const CallReport &report)> callReported;
     };
 
     explicit Ingress(Options options);
     ~Ingress();
 
-    // Calls that begin from now on use this view.
+    // Sets the view for calls that begin from now on; calls in progress keep theirs.
     void setView(std::shared_ptr<const RoutingView> view);
 
-    // Bounds the repeats for each service from now on.
+    // Changes the retry budget of each service.
     void setRetryBudget(RetryBudget::Options options);
 
-    // Another node told the load of a target, or of a service's targets in one
-    // data centre, as it was at the time of observation.
+    // Takes the load of a target, or of all targets of a service in one data centre, that another
+    // node observed at the given time.
     void targetLoadReceived(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
     void poolLoadReceived(const PoolReport &pool, TimePoint observed);
 
-    // Handles one call from its request to its final answer.
+    // Handles one call and returns its final response.
     asio::awaitable<HttpResponse> handle(HttpRequest request, ServerConnection &connection);
 
-    // Whether the call may run before those ahead of it on its caller's
-    // connection are answered.
+    // Whether a pipelined call may start before earlier calls of its connection have been answered.
     bool mayRunAhead(const HttpRequest &request) const;
 
-    // This node is about to stop: no running attempt is given up for another
-    // one from now on.
+    // Prepares for the node's shutdown: running attempts are no longer cancelled in favour of a retry.
     void stop();
 
-    // Attempts made after a call's first.
+    // Number of attempts after the first attempt of a call.
     std::uint64_t retries() const;
 
-    // Calls refused for the sake of more urgent ones.
+    // Number of calls shed in favour of calls of higher priority.
     std::uint64_t shedCalls() const;
 
 private:
--- a/src/daemon/ingresscall.cpp
+++ b/src/daemon/ingresscall.cpp
@@ -26,17 +26,17 @@
     return host.substr(0, host.find(':'));
 }
 
-bool isSent(AttemptEnd end)
+bool isSent(AttemptEnd outcome)
 {
-    return end != AttemptEnd::NotRun;
+    return outcome != AttemptEnd::NotRun;
 }
 
-bool mayHaveRun(AttemptEnd end)
+bool mayHaveRun(AttemptEnd outcome)
 {
-    return end == AttemptEnd::OutcomeUnknown || end == AttemptEnd::Shed || end == AttemptEnd::Failed;
+    return outcome == AttemptEnd::OutcomeUnknown || outcome == AttemptEnd::Shed || outcome == AttemptEnd::Failed;
 }
 
-AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &dialect)
+AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &headerNames)
 {
     if (!response) {
         return response.error().kind == ErrorKind::Unavailable ? AttemptEnd::NotRun : AttemptEnd::OutcomeUnknown;
@@ -50,7 +50,7 @@
     if (saysOutcomeUnknown(*response)) {
         return AttemptEnd::OutcomeUnknown;
     }
-    if (!dialect.notExecuted.empty()) {
+    if (!headerNames.notExecuted.empty()) {
         return response->result_int() >= 500 ? AttemptEnd::Failed : AttemptEnd::Answered;
     }
     return response->result() == http::status::service_unavailable ? AttemptEnd::Shed : AttemptEnd::Answered;
--- a/src/daemon/ingresscall.h
+++ b/src/daemon/ingresscall.h
@@ -16,7 +16,7 @@
 
 namespace Galenahill {
 
-// One call on its way through the ingress.
+// State of one call in the ingress.
 struct IngressCall
 {
     std::shared_ptr<const RoutingView> view;
@@ -25,79 +25,79 @@
     CallId id;
     TimePoint begin;
     TimePoint deadline;
-    // When the caller itself gives up.
+    // When the caller stops waiting.
     TimePoint callerDeadline;
     HttpRequest request;
     ServerConnection &connection;
-    // As the last attempt sees it; stays while the rest of its answer is sent.
+    // The connection as the last attempt sees it. Kept until the rest of a streamed response is sent.
     std::optional<AttemptConnection> attemptConnection;
     OfferHistory offers;
-    // The version under test that the call is offered to; null: none.
+    // Canary version that the call is offered to; null if none.
     const VersionTrial *trial = nullptr;
-    // The version that it was assigned to, for the log.
+    // Canary version that the call was first assigned to, for the log.
     TargetVersion version;
-    // Targets that may have run the call, and sidecars that had no room for a
-    // repeat of it: a repeat goes to none of them.
+    // Targets that may have run the call and sidecars that have been offered a retry of it. Further
+    // retries skip them.
     std::vector<NodeName> notToRepeatAt;
     std::uint32_t repeatsOffered = 0;
-    // Whether a repeat was taken out of the budget for the next send.
+    // Whether a retry has been taken from the budget for the next attempt.
     bool holdsRepeat = false;
     NodeName lastTarget;
-    // Times that the call was sent to a target, and how many of them may have
-    // run it.
+    // Number of attempts that reached a target, and of those among them that may have run the call.
     std::uint32_t sent = 0;
     std::uint32_t uncertain = 0;
     std::optional<Milliseconds> toldWait;
     std::string reason;
-    // A node nearer to the first caller repeats the call if it fails.
+    // Whether a node nearer to the first caller retries the call if it fails.
     bool retriedAbove = false;
-    // Its body takes a slow link a while.
+    // Whether the body is long enough to occupy a slow link for a while.
     bool large = false;
-    // Its rank: that of the call with which its chain of calls began.
+    // Priority of the root call of the call tree; zero is the highest.
     std::uint32_t priority = 0;
-    // A call that the target beside this node is running waits for this one.
+    // Whether this is a nested call of a call that the local target is running.
     bool forRunningCall = false;
-    // That call is being run once more, and makes its calls again.
+    // Whether that parent call is a retry, which makes its nested calls again.
     bool ofRepeat = false;
 };
 
-// How one attempt ended.
+// Outcome of one attempt.
 enum class AttemptEnd {
     Answered,
-    // The target ran the call and failed.
+    // The target ran the call and returned an error.
     Failed,
-    // The sidecar refused it.
+    // The sidecar rejected the call.
     NotRun,
-    // It was sent to the target, which says that it didn't run it.
+    // The call was sent to the target, which states that it did not run it.
     NotRunByTarget,
-    // The target answered that it has no room. Unlike a sidecar's refusal,
-    // that doesn't prove that the call didn't run.
+    // The target responded that it is overloaded. Unlike a rejection by the sidecar, that does not
+    // prove that the call was not run.
     Shed,
     OutcomeUnknown,
 };
 
-// One attempt at a target, through its sidecar.
+// Result of one attempt to have a target run the call, made through the target's sidecar.
 struct Attempt
 {
     AttemptEnd end = AttemptEnd::NotRun;
     HttpResponse response;
-    // What is still to come of a long answer.
+    // The part of a long response body that has not arrived yet.
     std::unique_ptr<BodySource> rest;
 };
 
-// How the call that gets this answer ended.
+// Outcome of the call whose final response this is.
 CallEnd endOf(const HttpResponse &response);
 
-// How the attempt that got this answer ended. An Unavailable error says that
-// the call wasn't sent. If the dialect says so, only the target's own word
-// proves that it didn't run a call.
-AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &dialect);
+// Outcome of the attempt that got this response. An Unavailable error means that the call was not
+// sent. If there is a header for it, only that header in the target's response proves that the target
+// did not run the call; a status of 503 does not.
+AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &headerNames);
 
-// Whether the call was sent to the target, and whether it may have run there.
-bool isSent(AttemptEnd end);
-bool mayHaveRun(AttemptEnd end);
+// Whether an attempt with this outcome reached the target, and whether the target may have run the
+// call.
+bool isSent(AttemptEnd outcome);
+bool mayHaveRun(AttemptEnd outcome);
 
-// The path without its query, and the host without its port.
+// The request's path without the query, and its host without the port.
 std::string_view pathOf(const HttpRequest &request);
 std::string_view hostOf(const HttpRequest &request);
 
--- a/src/daemon/linkfilter.cpp
+++ b/src/daemon/linkfilter.cpp
@@ -37,7 +37,7 @@
         d->losses = std::move(losses);
         return {};
     } catch (const nlohmann::json::exception &error) {
-        return failure(ErrorKind::Invalid, std::string("links: ") + error.what() + R"(; give an object such as {"127.70.1.3": 0.5})");
+        return failure(ErrorKind::Invalid, std::string("invalid link loss rates: ") + error.what() + R"(; expected an object such as {"127.70.1.3": 0.5})");
     }
 }
 
--- a/src/daemon/linkfilter.h
+++ b/src/daemon/linkfilter.h
@@ -7,24 +7,22 @@
 
 namespace Galenahill {
 
-// Plays cut and lossy links to other nodes, for runs with faults. Only a node
-// whose settings say `[testing] link-faults = yes` has one. Usable from
-// several threads.
+// Simulates lossy and broken links to other nodes, for fault injection tests. Enabled only by
+// `[testing] link-faults = yes` in the node's settings. Thread-safe.
 class LinkFilter
 {
 public:
     explicit LinkFilter(std::uint64_t seed);
     ~LinkFilter();
 
-    // Takes a JSON object of IP number to the share of datagrams lost, from 0
-    // to 1; it replaces the one before.
+    // Replaces the loss rates by those of a JSON object, which maps IP addresses to the share of
+    // datagrams to drop, from 0 to 1.
     Result<void> set(const std::string &json);
 
-    // Whether this datagram from or to the address gets through.
+    // Whether a datagram from or to the address is delivered. Decided at random for each datagram.
     bool passes(const std::string &address);
 
-    // Whether connections to the address can be made; not so on a link that
-    // loses everything.
+    // Whether connections to the address can be opened; false if all its datagrams are dropped.
     bool connects(const std::string &address) const;
 
 private:
--- a/src/daemon/metricstext.cpp
+++ b/src/daemon/metricstext.cpp
@@ -82,7 +82,7 @@
             reports.push_back(std::move(report));
         }
     } catch (const nlohmann::json::exception &) {
-        // A node of another version; its figures count as missing.
+        // The node runs another version; its reports count as missing.
         return {};
     }
     return reports;
--- a/src/daemon/metricstext.h
+++ b/src/daemon/metricstext.h
@@ -8,14 +8,14 @@
 
 namespace Galenahill {
 
-// The node's own figures by metric name, without the common prefix.
+// Gauges of the node by metric name, without the prefix galenahill_.
 using NodeGauges = std::map<std::string, double>;
 
-// The Prometheus text format, version 0.0.4.
+// Formats the metrics in the Prometheus text format, version 0.0.4.
 std::string metricsText(const NodeGauges &gauges, const std::vector<RouteReport> &routes);
 
-// Route reports as JSON for other nodes, and back; what doesn't decode gives
-// nothing.
+// Encode and decode route reports as JSON for other nodes. A text that does not decode gives no
+// reports.
 std::string reportsToJson(const std::vector<RouteReport> &reports);
 std::vector<RouteReport> reportsFromJson(const std::string &json);
 
--- a/src/daemon/nodestate.h
+++ b/src/daemon/nodestate.h
@@ -10,25 +10,24 @@
 
 namespace Galenahill {
 
-// What the node's threads share. The control actor writes all but the
-// revisions' holder; everybody reads.
+// State that the node's threads share. Only the control actor writes to it, apart from `revisions`.
 class NodeState
 {
 public:
     RevisionHolder revisions;
 
-    // Highest revision that any member was heard to have in force.
+    // Highest revision that any member has advertised as in force.
     std::atomic<std::uint64_t> highestKnown = 0;
 
-    // Whether this node is one of those that watch the store's head.
+    // Whether this node is one of the members that watch the store's head.
     std::atomic<bool> watchesStore = false;
 
-    // Whether this node keeps the list of contacts of its data centre.
+    // Whether this node maintains the contact list of its data centre.
     std::atomic<bool> keepsContacts = false;
 
     std::atomic<bool> stopping = false;
 
-    // All known members with this one; the first is this node.
+    // All known members; the first is this node.
     std::vector<MemberRecord> members() const
     {
         const std::lock_guard lock(m_mutex);
--- a/src/daemon/rolloutservice.cpp
+++ b/src/daemon/rolloutservice.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Failed lists after which a node doesn't wait for the store any more.
-constexpr int FailuresToGiveUp = 3;
+// Number of failed store calls after which a starting node no longer waits for the store.
+constexpr int MaxStoreFailures = 3;
 
-// Time between two lines about the state of a rollout.
+// Time between two log lines on the progress of a rollout.
 constexpr Milliseconds ProgressInterval{1000};
 
 }
@@ -21,7 +21,7 @@
 public:
     explicit Private(Options given)
         : options(std::move(given))
-        , informed(options.firstStart || options.kind.empty())
+        , synced(options.firstStart || options.kind.empty())
         , control({.self = options.self,
               .seed = options.seed,
               .exposureShare = options.exposureShare,
@@ -36,13 +36,13 @@
               .firstList = options.firstStart ? std::nullopt : std::optional(Freshness::MayBeStale),
               .watches = [this] { return control.isJudge(); },
               .received = [this](const DocumentSet &documents, bool all) { return received(documents, all); },
-              .failed = [this] { informed = informed || ++failures >= FailuresToGiveUp; },
+              .failed = [this] { synced = synced || ++failures >= MaxStoreFailures; },
               .stopping = options.stopping})
     {
     }
 
     Options options;
-    bool informed;
+    bool synced;
     int failures = 0;
     TimePoint lastProgress;
     RolloutControl control;
@@ -50,7 +50,7 @@
 
     void changed(const RolloutRecord &record, const std::string &why);
     bool received(const DocumentSet &documents, bool all);
-    void take(const StoredDocument &document, bool listed);
+    void processDocument(const StoredDocument &document, bool listed);
     asio::awaitable<void> write(RolloutWrite write);
     asio::awaitable<void> reread(ServiceName service);
     void logProgress();
@@ -87,14 +87,14 @@
 
 bool RolloutService::Private::received(const DocumentSet &documents, bool all)
 {
-    informed = true;
+    synced = true;
     std::vector<ServiceName> services;
     for (const auto &document : documents.documents) {
         services.emplace_back(document.name);
         if (document.removed) {
             control.orderRemoved(services.back(), Clock::now());
         } else {
-            take(document, all);
+            processDocument(document, all);
         }
     }
     if (all) {
@@ -103,7 +103,7 @@
     return false;
 }
 
-void RolloutService::Private::take(const StoredDocument &document, bool listed)
+void RolloutService::Private::processDocument(const StoredDocument &document, bool listed)
 {
     const auto stored = options.decode(document);
     if (!stored) {
@@ -114,7 +114,8 @@
     if (!isPlausible(record) || document.name != stored->order.service.value()) {
         options.log(LogLevel::Error,
             "rollout-refused",
-            {{"name", document.name}, {"reason", "names are too long, it lies under another service's name, or duration-s isn't from 1 to 86400"}});
+            {{"name", document.name},
+                {"reason", "a name is too long, the document's name is not that of its service, or duration-s is not in the range from 1 to 86400"}});
         return;
     }
     control.orderRead(*stored, listed, Clock::now());
@@ -145,7 +146,7 @@
     if (written) {
         control.written(write, *written, Clock::now());
     } else if (written.error().kind != ErrorKind::Unavailable) {
-        // Another node was first, or the answer was lost after the write.
+        // Either another node wrote first, or the response was lost after the write.
         co_await reread(write.order.service);
     }
 }
@@ -154,7 +155,7 @@
 {
     const auto document = co_await options.store.read(options.kind, service.value());
     if (document) {
-        take(*document, false);
+        processDocument(*document, false);
     } else if (document.error().kind == ErrorKind::NotFound) {
         control.orderRemoved(service, Clock::now());
     }
@@ -205,7 +206,7 @@
 
 bool RolloutService::informed() const
 {
-    return d->informed;
+    return d->synced;
 }
 
 VersionRules RolloutService::rules() const
--- a/src/daemon/rolloutservice.h
+++ b/src/daemon/rolloutservice.h
@@ -9,7 +9,7 @@
 
 namespace Galenahill {
 
-// Joins the rollouts' decisions with the store, the other nodes and the log.
+// Connects the rollout controller with the store, the other nodes and the log.
 class RolloutService
 {
 public:
@@ -17,19 +17,19 @@
     {
         asio::io_context &context;
         DocumentStore &store;
-        // Where the orders lie in the store; empty: there are none.
+        // Kind of the documents in the store that hold the rollouts' specs; empty if rollouts are not used.
         std::string kind;
         std::function<Result<StoredRollout>(const StoredDocument &document)> decode;
         std::function<std::string(const RolloutWrite &write)> encodeStatus;
         MemberRecord self;
         std::uint64_t seed = 1;
         double exposureShare = 0.1;
-        // Whether no order can be older than this node.
+        // Whether the whole fleet starts for the first time, so that no spec can be older than this node.
         bool firstStart = false;
         Logger log;
         std::function<void(const Endpoint &to, const RolloutReport &report)> send;
         std::function<bool()> targetIdle;
-        // What the rollouts say of the targets may have changed.
+        // Called when the version rules may have changed.
         std::function<void()> rulesChanged;
         const bool &stopping;
     };
@@ -44,14 +44,14 @@
     void setOwnVersion(const TargetVersion &version, Milliseconds warmUpLeft);
     void callEnded(const RouteName &route, TargetEnd end, std::chrono::microseconds time);
 
-    // Whether this node has learnt of the orders there are, or can't: before, its
-    // target must not get calls.
+    // Whether this node has read the specs in the store, or has stopped waiting for the store. Until
+    // then its target must not get calls.
     bool informed() const;
 
     VersionRules rules() const;
     std::optional<VersionRule> ownRule() const;
 
-    // Series for the metrics: stage, calls and failures by service and version.
+    // Metrics in the Prometheus text format: stage, share, calls and failures by service and version.
     std::string metricsText() const;
 
 private:
--- a/src/daemon/sidecar.cpp
+++ b/src/daemon/sidecar.cpp
@@ -16,16 +16,15 @@
 
 using Microseconds = std::chrono::microseconds;
 
-// A call that nobody may repeat goes out on a connection that was in use so
-// lately. Targets are known to forget idle connections, the earliest after
-// 300 ms, and reset what comes next: the call didn't run, and can't be proven
-// not to have. A new connection costs a millisecond.
-constexpr Milliseconds MaxIdleOnce{200};
+// Longest time for which a connection may have been idle to carry a call that must not be retried.
+// Targets are known to forget idle connections, the earliest after 300 ms, and to reset them on the
+// next request: the call did not run, but that cannot be proven. A new connection costs a
+// millisecond.
+constexpr Milliseconds MaxIdleWithoutRetry{200};
 
-// Time that the target is told to have less than the call has, so that its own
-// "too late" arrives while the ingress still waits and the connection can be
-// used again.
-constexpr Milliseconds AnswerMargin{10};
+// Subtracted from the timeout that is passed to the target, so that the target's own timeout response
+// arrives while the ingress still waits, and the connection can be reused.
+constexpr Milliseconds ResponseMargin{10};
 
 }
 
@@ -34,41 +33,40 @@
 public:
     explicit Private(Options given)
         : options(std::move(given))
-        , line(std::make_shared<SlotLine>(options.context, options.policy))
-        , bodies(options.context, options.link, *line)
+        , slots(std::make_shared<SlotLine>(options.context, options.policy))
+        , bodyReceiver(options.context, options.link, *slots)
     {
     }
 
     Options options;
-    std::shared_ptr<SlotLine> line;
-    BodyIntake bodies;
-    // Id and slots that the target announced; no slots if it doesn't announce
-    // itself.
+    std::shared_ptr<SlotLine> slots;
+    BodyIntake bodyReceiver;
+    // Id and slots that the target announced; zero slots if it does not announce itself.
     std::string targetId;
     std::uint32_t announcedSlots = 0;
     VersionGuard guard;
-    // The calls that the target is running, by id.
+    // Calls that the target is running, by id.
     std::unordered_map<std::string, RunningCall> running;
-    // The services that runs of each route call.
-    CalledServices called;
+    // Services that calls of each route make nested calls to.
+    CalledServices calledServices;
     MemberState state = MemberState::Starting;
 
     asio::awaitable<void> probe();
     void setState(MemberState newState);
-    std::string idOf(const HttpRequest &request) const;
+    std::string callIdOf(const HttpRequest &request) const;
     std::string refusal(const HttpRequest &request) const;
-    HttpResponse refuse(const std::string &reason) const;
-    HttpResponse refuseFull(const SlotCall &call) const;
-    void logRefusal(const SlotCall &call, const std::string &reason) const;
+    HttpResponse reject(const std::string &reason) const;
+    HttpResponse rejectFull(const SlotCall &call) const;
+    void logRejection(const SlotCall &call, const std::string &reason) const;
     OwnLoad load() const;
     void reportLoad(HttpResponse &response) const;
 
-    asio::awaitable<std::optional<HttpResponse>> takeBody(HttpRequest &request, SlotCall &call, ServerConnection &connection);
-    HttpResponse refuseBody(const SlotCall &call, TimePoint arrival) const;
-    asio::awaitable<HttpResponse> passOn(HttpRequest request, SlotCall call, ServerConnection &connection);
+    asio::awaitable<std::optional<HttpResponse>> bufferBody(HttpRequest &request, SlotCall &call, ServerConnection &connection);
+    HttpResponse rejectBody(const SlotCall &call, TimePoint arrival) const;
+    asio::awaitable<HttpResponse> forward(HttpRequest request, SlotCall call, ServerConnection &connection);
     HttpRequest targetRequest(HttpRequest request, const SlotCall &call) const;
-    AdmissionController::End endOf(const HttpResponse &response, AnswerVerdict verdict) const;
-    HttpResponse answerOf(HttpResponse response, AnswerVerdict verdict) const;
+    AdmissionController::End releaseReasonOf(const HttpResponse &response, AnswerVerdict verdict) const;
+    HttpResponse responseOf(HttpResponse response, AnswerVerdict verdict) const;
 };
 
 Sidecar::Sidecar(Options options)
@@ -86,13 +84,13 @@
 asio::awaitable<void> Sidecar::Private::probe()
 {
     const auto keep = shared_from_this();
-    TargetProbe prober({.context = options.context,
+    TargetProbe healthCheck({.context = options.context,
         .client = options.client,
         .target = options.target,
         .path = options.healthPath,
-        .stopped = [this] { return line->draining(); },
+        .stopped = [this] { return slots->draining(); },
         .changed = [this](MemberState newState) { setState(newState); }});
-    co_await prober.run();
+    co_await healthCheck.run();
 }
 
 void Sidecar::Private::setState(MemberState newState)
@@ -102,7 +100,7 @@
     }
     state = newState;
     if (newState == MemberState::Ready) {
-        line->restart();
+        slots->restart();
     }
     if (announcedSlots == 0) {
         options.log(LogLevel::Info, "target-state", {{"state", toString(newState)}});
@@ -116,7 +114,7 @@
         return;
     }
     const auto *service = view && view->config ? view->config->snapshot->service(d->options.service) : nullptr;
-    d->line->setSlots(service == nullptr ? 0 : service->slots);
+    d->slots->setSlots(service == nullptr ? 0 : service->slots);
     if (service != nullptr) {
         d->options.client.limitConnections(d->options.target, service->connections);
     }
@@ -125,58 +123,58 @@
 void Sidecar::announced(const TargetAnnouncement &target, MemberState state)
 {
     if (d->targetId != target.id) {
-        // Whatever is idle leads to the target that was there before.
+        // Idle connections lead to the target process that was there before.
         d->options.client.closeIdle(d->options.target);
         d->setState(MemberState::Starting);
     }
     d->targetId = target.id;
     d->announcedSlots = target.slots;
     d->guard.setVersion(target.version);
-    d->line->setSlots(target.slots);
+    d->slots->setSlots(target.slots);
     d->setState(state);
     if (state == MemberState::Ready) {
-        d->line->admitWaiting();
+        d->slots->admitWaiting();
     } else {
-        d->line->refuseWaiting();
-        d->bodies.refuseWaiting();
+        d->slots->refuseWaiting();
+        d->bodyReceiver.refuseWaiting();
     }
 }
 
 void Sidecar::setVersionRule(const std::optional<VersionRule> &rule)
 {
     if (d->guard.setRule(rule) && d->guard.isShut()) {
-        d->line->refuseWaiting();
-        d->bodies.refuseWaiting();
+        d->slots->refuseWaiting();
+        d->bodyReceiver.refuseWaiting();
     }
 }
 
 std::string Sidecar::Private::refusal(const HttpRequest &request) const
 {
     if (request[CallHeaders::Service] != options.service.value()) {
-        return "this target is of another service";
+        return "the target belongs to another service than the call";
     }
-    if (line->draining() || state == MemberState::Draining) {
-        return "the target is leaving";
+    if (slots->draining() || state == MemberState::Draining) {
+        return "the target is draining";
     }
     if (state != MemberState::Ready) {
-        return "the target is starting";
+        return "the target is not ready yet";
     }
     const auto version = request[CallHeaders::Version];
     if (auto reason = guard.refusal({version.data(), version.size()}); !reason.empty()) {
         return reason;
     }
     const auto left = timeoutHeader(request);
-    if (!left || Milliseconds(*left) <= line->fastest()) {
-        return "less time is left than any call takes";
+    if (!left || Milliseconds(*left) <= slots->fastest()) {
+        return "the time left until the call's deadline is shorter than any call takes";
     }
     return {};
 }
 
 OwnLoad Sidecar::Private::load() const
 {
-    const bool takesCalls = state == MemberState::Ready && !line->draining();
-    const auto wait = options.policy.byUrgency && takesCalls ? line->expectedWait() : Microseconds(0);
-    return {{line->running() + static_cast<std::uint32_t>(line->waiting()), takesCalls ? line->limit() : 0}, std::chrono::duration_cast<Milliseconds>(wait)};
+    const bool takesCalls = state == MemberState::Ready && !slots->draining();
+    const auto wait = options.policy.byUrgency && takesCalls ? slots->expectedWait() : Microseconds(0);
+    return {{slots->running() + static_cast<std::uint32_t>(slots->waiting()), takesCalls ? slots->limit() : 0}, std::chrono::duration_cast<Milliseconds>(wait)};
 }
 
 void Sidecar::Private::reportLoad(HttpResponse &response) const
@@ -188,14 +186,14 @@
     }
 }
 
-HttpResponse Sidecar::Private::refuse(const std::string &reason) const
+HttpResponse Sidecar::Private::reject(const std::string &reason) const
 {
     auto response = notRunResponse(http::status::service_unavailable, "refused", reason);
     reportLoad(response);
     return response;
 }
 
-void Sidecar::Private::logRefusal(const SlotCall &call, const std::string &reason) const
+void Sidecar::Private::logRejection(const SlotCall &call, const std::string &reason) const
 {
     const auto now = Clock::now();
     options.log(LogLevel::Info,
@@ -204,43 +202,43 @@
             {"route", call.route.value()},
             {"reason", reason},
             {"state", toString(state)},
-            {"running", line->running()},
-            {"slots", line->limit()},
-            {"waiting", line->waiting()},
+            {"running", slots->running()},
+            {"slots", slots->limit()},
+            {"waiting", slots->waiting()},
             {"may_wait", call.terms.mayWait},
             {"for_running_call", call.terms.forRunningCall},
             {"waited_ms", std::chrono::duration_cast<Milliseconds>(now - call.arrived).count()},
-            {"expected_wait_ms", std::chrono::duration_cast<Milliseconds>(line->expectedWait(call)).count()},
+            {"expected_wait_ms", std::chrono::duration_cast<Milliseconds>(slots->expectedWait(call)).count()},
             {"left_ms", std::chrono::duration_cast<Milliseconds>(call.deadline - now).count()}});
 }
 
-HttpResponse Sidecar::Private::refuseFull(const SlotCall &call) const
+HttpResponse Sidecar::Private::rejectFull(const SlotCall &call) const
 {
-    // An offer without waiting is a question; its answer needs no line.
+    // An offer that may not wait only asks for a free slot; its rejection is not logged.
     if (call.terms.mayWait) {
-        logRefusal(call, "no slot in time");
+        logRejection(call, "no slot in time");
     }
-    auto response = refuse("all slots of the target are taken");
-    response.set(CallHeaders::WaitMs, std::to_string(std::chrono::duration_cast<Milliseconds>(line->costOf(call)).count()));
+    auto response = reject("all slots of the target are in use");
+    response.set(CallHeaders::WaitMs, std::to_string(std::chrono::duration_cast<Milliseconds>(slots->costOf(call)).count()));
     return response;
 }
 
 HttpRequest Sidecar::Private::targetRequest(HttpRequest request, const SlotCall &call) const
 {
-    const auto &dialect = options.dialect;
+    const auto &headerNames = options.dialect;
     const std::string callId(request[CallHeaders::CallId]);
     const bool retriedAbove = request.find(CallHeaders::RetriedAbove) != request.end();
-    stripFields(request, dialect);
-    if (dialect.requestId.empty()) {
+    stripFields(request, headerNames);
+    if (headerNames.requestId.empty()) {
         request.set(CallHeaders::CallId, callId);
     }
     const auto left = std::chrono::duration_cast<Milliseconds>(call.deadline - call.entered);
-    request.set(dialect.timeLeft, std::to_string(std::max(left - AnswerMargin, Milliseconds(1)).count()));
-    if (!dialect.expectedTarget.empty()) {
-        request.set(dialect.expectedTarget, targetId);
+    request.set(headerNames.timeLeft, std::to_string(std::max(left - ResponseMargin, Milliseconds(1)).count()));
+    if (!headerNames.expectedTarget.empty()) {
+        request.set(headerNames.expectedTarget, targetId);
     }
-    if (!dialect.callerService.empty()) {
-        request.set(dialect.callerService, call.callerService);
+    if (!headerNames.callerService.empty()) {
+        request.set(headerNames.callerService, call.callerService);
     }
     if (retriedAbove) {
         request.set(CallHeaders::RetriedAbove, "yes");
@@ -249,33 +247,33 @@
     return request;
 }
 
-AdmissionController::End Sidecar::Private::endOf(const HttpResponse &response, AnswerVerdict verdict) const
+AdmissionController::End Sidecar::Private::releaseReasonOf(const HttpResponse &response, AnswerVerdict verdict) const
 {
-    using End = AdmissionController::End;
+    using Reason = AdmissionController::End;
     switch (verdict) {
     case AnswerVerdict::NotExecuted:
-        return End::Shed;
+        return Reason::Shed;
     case AnswerVerdict::Spoiled:
-        return End::Broken;
+        return Reason::Broken;
     case AnswerVerdict::Answered:
     case AnswerVerdict::Failed:
         break;
     }
     const bool provesNotRun = !options.dialect.notExecuted.empty();
-    return !provesNotRun && response.result() == http::status::service_unavailable ? End::Shed : End::Answered;
+    return !provesNotRun && response.result() == http::status::service_unavailable ? Reason::Shed : Reason::Answered;
 }
 
-// What goes back to the ingress for the target's answer.
-HttpResponse Sidecar::Private::answerOf(HttpResponse response, AnswerVerdict verdict) const
+// Returns the response to the ingress for the target's response.
+HttpResponse Sidecar::Private::responseOf(HttpResponse response, AnswerVerdict verdict) const
 {
     switch (verdict) {
     case AnswerVerdict::NotExecuted: {
-        auto refused = notRunResponse(http::status::service_unavailable, "refused", "the target says that it didn't run the call");
-        refused.set(CallHeaders::Outcome, CallHeaders::NotRunByTarget);
-        return refused;
+        auto rejected = notRunResponse(http::status::service_unavailable, "refused", "the target states that it did not run the call");
+        rejected.set(CallHeaders::Outcome, CallHeaders::NotRunByTarget);
+        return rejected;
     }
     case AnswerVerdict::Spoiled:
-        return outcomeUnknownResponse("the target's answer isn't one of its own", http::status::bad_gateway);
+        return outcomeUnknownResponse("the response cannot be attributed to the target", http::status::bad_gateway);
     case AnswerVerdict::Answered:
     case AnswerVerdict::Failed:
         break;
@@ -284,23 +282,23 @@
     return response;
 }
 
-asio::awaitable<HttpResponse> Sidecar::Private::passOn(HttpRequest request, SlotCall call, ServerConnection &connection)
+asio::awaitable<HttpResponse> Sidecar::Private::forward(HttpRequest request, SlotCall call, ServerConnection &connection)
 {
-    using End = AdmissionController::End;
-    const auto &dialect = options.dialect;
+    using Reason = AdmissionController::End;
+    const auto &headerNames = options.dialect;
     auto forwarded = targetRequest(std::move(request), call);
     std::unique_ptr<BodySource> rest;
     HttpClient::Companions companions;
     companions.cancellation = &connection.cancellation();
     companions.requestBody = call.heldBytes > 0 ? nullptr : connection.requestBody();
     companions.answerBody = &rest;
-    if (forwarded.count(CallHeaders::RetriedAbove) == 0 && !dialect.notExecuted.empty()) {
-        companions.maxIdle = MaxIdleOnce;
+    if (forwarded.count(CallHeaders::RetriedAbove) == 0 && !headerNames.notExecuted.empty()) {
+        companions.maxIdle = MaxIdleWithoutRetry;
     }
-    if (!dialect.requestId.empty()) {
+    if (!headerNames.requestId.empty()) {
         companions.belongs = [&](const http::fields &fields) {
-            const auto id = fields[dialect.requestId];
-            return id.empty() || id == forwarded[dialect.requestId];
+            const auto id = fields[headerNames.requestId];
+            return id.empty() || id == forwarded[headerNames.requestId];
         };
     }
     running.insert_or_assign(call.id, RunningCall{call.route, call.terms.priority, call.terms.repeat});
@@ -313,38 +311,38 @@
         options.stageEnded(CallStage::Target, time);
     }
     if (response) {
-        const auto verdict = judgeAnswer(dialect,
+        const auto verdict = judgeAnswer(headerNames,
             {.status = response->result_int(),
-                .hasProof = response->count(dialect.answerProof) > 0,
-                .saysNotExecuted = response->count(dialect.notExecuted) > 0,
+                .hasProof = response->count(headerNames.answerProof) > 0,
+                .saysNotExecuted = response->count(headerNames.notExecuted) > 0,
                 .hasEncoding = response->count(http::field::content_encoding) > 0});
-        const auto end = endOf(*response, verdict);
+        const auto reason = releaseReasonOf(*response, verdict);
         if (options.targetEnded && verdict != AnswerVerdict::NotExecuted) {
             options.targetEnded(call.route, verdict == AnswerVerdict::Failed ? TargetEnd::Failed : TargetEnd::Answered, time);
         }
-        const bool streams = rest && (verdict == AnswerVerdict::Answered || verdict == AnswerVerdict::Failed);
-        auto answer = answerOf(std::move(*response), verdict);
-        if (const auto *services = called.of(call.route)) {
+        const bool streamed = rest && (verdict == AnswerVerdict::Answered || verdict == AnswerVerdict::Failed);
+        auto answer = responseOf(std::move(*response), verdict);
+        if (const auto *services = calledServices.of(call.route)) {
             answer.set(CallHeaders::Calls, formatCalls(*services));
         }
-        if (streams) {
+        if (streamed) {
             reportLoad(answer);
             co_await connection.sendStreamed(std::move(answer), *rest);
-            line->leave(call, end);
+            slots->leave(call, reason);
             co_return answer;
         }
-        // The load is told without this call: told with it, a target with one
-        // slot would never seem to have room.
-        line->leave(call, end);
+        // The reported load leaves this call out: otherwise a target with one slot would never appear to
+        // have a free one.
+        slots->leave(call, reason);
         reportLoad(answer);
         co_return answer;
     }
     if (response.error().kind == ErrorKind::Unavailable) {
-        line->leave(call, End::NotSent);
+        slots->leave(call, Reason::NotSent);
         if (options.targetLost && !connection.cancellation().cancelled()) {
             options.targetLost();
         }
-        co_return refuse("the target can't be reached");
+        co_return reject("the target cannot be reached");
     }
     const bool late = Clock::now() >= call.deadline;
     const bool cancelled = connection.cancellation().cancelled();
@@ -360,39 +358,39 @@
             {"cancelled", cancelled},
             {"ms", std::chrono::duration_cast<Milliseconds>(Clock::now() - begin).count()},
             {"reason", response.error().message}});
-    line->leave(call, cancelled ? End::Cancelled : late ? End::GivenUp : End::Broken);
+    slots->leave(call, cancelled ? Reason::Cancelled : late ? Reason::GivenUp : Reason::Broken);
     auto unknown = outcomeUnknownResponse(response.error().message, late ? http::status::gateway_timeout : http::status::bad_gateway);
     reportLoad(unknown);
     co_return unknown;
 }
 
-HttpResponse Sidecar::Private::refuseBody(const SlotCall &call, TimePoint arrival) const
+HttpResponse Sidecar::Private::rejectBody(const SlotCall &call, TimePoint arrival) const
 {
     if (call.terms.mayWait) {
-        logRefusal(call, "the body can't be here in time");
+        logRejection(call, "the request body cannot arrive in time");
     }
-    auto response = refuse("the link to the target, or its slots, are taken");
+    auto response = reject("the inbound link or all slots of the target are in use");
     const auto wait = std::chrono::duration_cast<Milliseconds>(arrival - Clock::now());
-    const auto late = std::chrono::duration_cast<Milliseconds>(line->costOf(call));
+    const auto late = std::chrono::duration_cast<Milliseconds>(slots->costOf(call));
     response.set(CallHeaders::WaitMs, std::to_string((wait + late).count()));
     return response;
 }
 
-// Gives the refusal if the body couldn't be taken, or nothing once it is here.
-asio::awaitable<std::optional<HttpResponse>> Sidecar::Private::takeBody(HttpRequest &request, SlotCall &call, ServerConnection &connection)
+// Buffers the call's body. Returns the rejection if that fails, or nothing once the body is complete.
+asio::awaitable<std::optional<HttpResponse>> Sidecar::Private::bufferBody(HttpRequest &request, SlotCall &call, ServerConnection &connection)
 {
-    const auto outcome = co_await bodies.take(request, call, connection);
+    const auto outcome = co_await bodyReceiver.take(request, call, connection);
     if (outcome.end == BodyIntake::End::Refused) {
-        co_return refuseBody(call, outcome.arrival);
+        co_return rejectBody(call, outcome.arrival);
     }
     if (options.stageEnded) {
         options.stageEnded(CallStage::Body, std::chrono::duration_cast<Microseconds>(Clock::now() - call.arrived));
     }
-    // The target may have begun to leave while the body came.
-    const auto reason = outcome.end == BodyIntake::End::CutOff ? "the body was cut off: " + outcome.error.message() : refusal(request);
+    // The target may have started draining while the body arrived.
+    const auto reason = outcome.end == BodyIntake::End::CutOff ? "the request body was cut off: " + outcome.error.message() : refusal(request);
     if (!reason.empty()) {
-        logRefusal(call, reason);
-        co_return refuse(reason);
+        logRejection(call, reason);
+        co_return reject(reason);
     }
     call.arrived = Clock::now();
     co_return std::nullopt;
@@ -403,7 +401,7 @@
     const auto keep = d;
     SlotCall call;
     call.arrived = Clock::now();
-    call.id = keep->idOf(request);
+    call.id = keep->callIdOf(request);
     call.route = RouteName(std::string(request[CallHeaders::Route]));
     call.deadline = call.arrived + Milliseconds(timeoutHeader(request).value_or(0));
     call.terms = termsHeader(request);
@@ -412,37 +410,36 @@
         call.objective = call.arrived + *call.terms.objectiveLeft;
     }
     if (const auto reason = keep->refusal(request); !reason.empty()) {
-        keep->logRefusal(call, reason);
-        co_return keep->refuse(reason);
+        keep->logRejection(call, reason);
+        co_return keep->reject(reason);
     }
-    // Given back whatever becomes of the call.
-    const auto release = [&keep](SlotCall *held) { keep->bodies.release(held->heldBytes); };
-    const std::unique_ptr<SlotCall, decltype(release)> holding(&call, release);
+    // Releases the memory of the buffered body however the call ends.
+    const auto release = [&keep](SlotCall *buffered) { keep->bodyReceiver.release(buffered->heldBytes); };
+    const std::unique_ptr<SlotCall, decltype(release)> bodyGuard(&call, release);
     if (BodyIntake::takes(connection.requestBody())) {
-        auto refused = co_await keep->takeBody(request, call, connection);
-        if (refused) {
-            co_return std::move(*refused);
+        auto rejected = co_await keep->bufferBody(request, call, connection);
+        if (rejected) {
+            co_return std::move(*rejected);
         }
     }
-    const bool entered = co_await keep->line->enter(call, connection);
+    const bool entered = co_await keep->slots->enter(call, connection);
     if (!entered) {
-        co_return keep->refuseFull(call);
-    }
-    // After a pause of this process, or a wait for a slot, the ingress may
-    // have given the call up and told its caller so; running it now would
-    // serve nobody. The ingress closes the connection when it gives up. The
-    // target may have begun to leave as well.
-    const bool leaving = keep->state == MemberState::Draining || keep->guard.isShut();
-    if (leaving || connection.peerClosed()) {
-        keep->line->leave(call, AdmissionController::End::NotSent);
-        const auto *reason = leaving ? "the target is leaving" : "the caller has gone";
-        keep->logRefusal(call, reason);
-        co_return keep->refuse(reason);
-    }
-    co_return co_await keep->passOn(std::move(request), call, connection);
+        co_return keep->rejectFull(call);
+    }
+    // After a pause of this process, or a wait for a slot, the ingress may have timed out, told its
+    // caller so and closed the connection; nobody would get the response. The target may also have
+    // stopped accepting calls.
+    const bool stopped = keep->state == MemberState::Draining || keep->guard.isShut();
+    if (stopped || connection.peerClosed()) {
+        keep->slots->leave(call, AdmissionController::End::NotSent);
+        const auto *reason = stopped ? "the target stopped accepting calls" : "the ingress closed the connection";
+        keep->logRejection(call, reason);
+        co_return keep->reject(reason);
+    }
+    co_return co_await keep->forward(std::move(request), call, connection);
 }
 
-std::string Sidecar::Private::idOf(const HttpRequest &request) const
+std::string Sidecar::Private::callIdOf(const HttpRequest &request) const
 {
     const auto &field = options.dialect.requestId;
     return std::string(field.empty() ? request[CallHeaders::CallId] : request[field]);
@@ -450,13 +447,13 @@
 
 void Sidecar::drain()
 {
-    d->line->startDraining();
-    d->bodies.refuseWaiting();
+    d->slots->startDraining();
+    d->bodyReceiver.refuseWaiting();
 }
 
 void Sidecar::runCalled(const RouteName &route, const ServiceName &service)
 {
-    d->called.add(route, service);
+    d->calledServices.add(route, service);
 }
 
 std::optional<RunningCall> Sidecar::running(std::string_view id) const
@@ -476,12 +473,12 @@
 
 bool Sidecar::idle() const
 {
-    return d->line->running() == 0 && d->line->waiting() == 0;
+    return d->slots->running() == 0 && d->slots->waiting() == 0;
 }
 
 std::uint32_t Sidecar::inFlight() const
 {
-    return d->line->running();
+    return d->slots->running();
 }
 
 }
--- a/src/daemon/sidecar.h
+++ b/src/daemon/sidecar.h
@@ -20,20 +20,20 @@
 
 namespace Galenahill {
 
-// Parts of a call's way of which the time is measured.
+// Stages of a call whose latency is measured.
 enum class CallStage {
-    // From its arrival at the ingress to its final answer.
+    // From the call's arrival at the ingress to its final response.
     Whole,
-    // Waiting in the sidecar's line for a slot.
+    // Waiting in the sidecar's queue for a slot.
     Line,
-    // From the offer of a large body until it is here.
+    // From the offer of a large body until the sidecar has received all of it.
     Body,
-    // From the sidecar to the target and back.
+    // From the request to the target to its response.
     Target,
 };
 
-// The only door to the target beside this node. It alone knows how many calls
-// the target has in flight. Used on the data thread only.
+// Forwards calls to the local target. All calls to the target pass through it, so it alone knows how
+// many are in flight. Used on the data thread only.
 class Sidecar
 {
 public:
@@ -46,58 +46,54 @@
         std::string healthPath;
         Logger log;
         CallPolicy policy;
-        // Names of the fields that the target uses.
+        // Names of the header fields that the target uses.
         CallDialect dialect;
-        // The VM's link, as far as bodies from other nodes need it.
+        // The VM's inbound link, on which large bodies arrive from other nodes.
         LinkSchedule::Options link;
-        // The target began or ceased to take calls.
+        // Called when the target starts or stops accepting calls.
         std::function<void(MemberState)> stateChanged;
-        // The target refused a connection or broke one before its answer, so
-        // that it may have ended. May be null.
+        // Called when the target cannot be reached, so that it may have exited. May be null.
         std::function<void()> targetLost;
-        // The target ended a call of the route after that time. May be null.
+        // Called when a call of the route ends at the target, with its duration there. May be null.
         std::function<void(const RouteName &route, TargetEnd end, std::chrono::microseconds time)> targetEnded;
-        // A call has left the stage after that time. May be null.
+        // Called when a call leaves the stage, with the time that it spent there. May be null.
         std::function<void(CallStage stage, std::chrono::microseconds time)> stageEnded;
     };
 
     explicit Sidecar(Options options);
     ~Sidecar();
 
-    // Starts to ask the target how it is. Not for a target that announces
-    // itself.
+    // Starts health checks of the target. Not for a target that announces itself.
     void start();
 
-    // Takes the state of a target that announces itself, and the calls that it
-    // runs at a time. From the moment at which this returns, no further call
-    // is sent to a target that doesn't take any.
+    // Sets the state and the slots of a target that announces itself. Once this returns, no further
+    // call is sent to a target that accepts none.
     void announced(const TargetAnnouncement &target, MemberState state);
 
-    // What a rollout says of the service's targets; none: nothing. From the moment at
-    // which this returns, the target gets no further call that the rule forbids.
+    // Sets the rule of the service's rollout, or none. Once this returns, the target gets no further
+    // call that the rule forbids.
     void setVersionRule(const std::optional<VersionRule> &rule);
 
     void setView(const std::shared_ptr<const RoutingView> &view);
 
-    // Handles one call that an ingress passed on.
+    // Handles one call that an ingress forwarded.
     asio::awaitable<HttpResponse> handle(HttpRequest request, ServerConnection &connection);
 
-    // Refuses every further call; those in flight finish.
+    // Rejects all further calls; calls in flight finish.
     void drain();
 
     std::uint32_t inFlight() const;
 
-    // The target's load as far as other calls than those of a trial matter; a limit of
-    // zero if it takes none.
+    // The target's load, with a limit of zero if it accepts no calls, or only those of a canary.
     OwnLoad load() const;
 
-    // Whether no call runs at the target, and none waits.
+    // Whether no call is running at the target or waiting for it.
     bool idle() const;
 
-    // A run of a call of the route has made a call to the service.
+    // Records that the target, while it ran a call of the route, made a nested call to the service.
     void runCalled(const RouteName &route, const ServiceName &service);
 
-    // The call of that id, as its caller named it, if the target is running it.
+    // Returns the call with the id that its caller gave it, if the target is running it.
     std::optional<RunningCall> running(std::string_view id) const;
 
 private:
--- a/src/daemon/slotline.cpp
+++ b/src/daemon/slotline.cpp
@@ -8,29 +8,28 @@
 
 using Microseconds = std::chrono::microseconds;
 
-// A call waits for a slot at most for this many usual calls, but never less
-// than the shortest wait and never more than the longest.
+// Limit of a call's wait for a slot, as a multiple of the average latency within fixed bounds.
 constexpr int WaitFactor = 2;
 constexpr Microseconds ShortestWait{5000};
 constexpr Microseconds LongestWait{200000};
 
-// Time supposed for a call before the first answer tells.
-constexpr Microseconds UnknownCallTime{25000};
+// Latency assumed for a call before the first response.
+constexpr Microseconds UnknownLatency{25000};
 
-// Bounds the queue where urgency orders it; the calls' deadlines bound the wait.
+// Bounds the queue that is ordered by urgency; the calls' deadlines bound the wait in it.
 constexpr std::size_t MaxWaiting = 64;
 
-// Margin over the usual time of a route within which most of its calls end.
-constexpr double TimeMargin = 1.3;
+// Factor over the average latency of a route within which most of its calls end.
+constexpr double LatencyMargin = 1.3;
 
-// Share of its objective that a call needs at a target that hasn't answered any of its
-// route. Guards against admitting all calls, most of them late, after a full restart.
-constexpr double SupposedShare = 1.0 / 3;
+// Latency assumed for a route that the target has not answered yet, as a share of its objective.
+// Guards against admitting all calls, most of them late, after a restart of all nodes.
+constexpr double AssumedLatencyShare = 1.0 / 3;
 
-// Share of the time until its latest start that a large body may need to come. The
-// rest is for what the schedule of the link can't know: a sender whose own link
-// is busy, lost packets, other traffic.
-constexpr double MaxBodyShare = 0.7;
+// Share of the time until the latest start of its call that a large body may take to arrive. The
+// rest allows for what the link schedule cannot know: a sender whose own link is busy, packet loss,
+// other traffic.
+constexpr double MaxBodyTimeShare = 0.7;
 
 }
 
@@ -98,47 +97,46 @@
     return m_admission.fastest();
 }
 
-// Until when a call that arrived now may wait: a call that gets its slot later
-// would rather have been refused at once and gone elsewhere.
+// Time until which the call may wait. A call that would get its slot later is better rejected at
+// once, so that it can go to another target.
 TimePoint SlotLine::waitLimit(const SlotCall &call) const
 {
     if (m_policy.byUrgency) {
         return latestStart(call);
     }
-    const auto usual = m_admission.typical().count() == 0 ? UnknownCallTime : m_admission.typical();
-    const auto longest = std::clamp(WaitFactor * usual, ShortestWait, LongestWait);
+    const auto average = m_admission.typical().count() == 0 ? UnknownLatency : m_admission.typical();
+    const auto longest = std::clamp(WaitFactor * average, ShortestWait, LongestWait);
     return std::min(call.entered + longest, call.deadline - m_admission.fastest());
 }
 
-// Time at the target within which most calls of the route are answered.
-std::chrono::microseconds SlotLine::neededTime(const SlotCall &call) const
+// Time within which the target answers most calls of the route.
+std::chrono::microseconds SlotLine::expectedServiceTime(const SlotCall &call) const
 {
     const auto known = m_times.usual(call.route);
-    const auto needed = known.count() == 0 ? UnknownCallTime : known;
-    return std::chrono::duration_cast<Microseconds>(needed * TimeMargin);
+    const auto needed = known.count() == 0 ? UnknownLatency : known;
+    return std::chrono::duration_cast<Microseconds>(needed * LatencyMargin);
 }
 
-// The latest time to get a slot and be answered within the objective, or by
-// the deadline for a call without one. A call that waits longer takes its slot
-// from one that could still be in time.
+// Latest time to get a slot and still be answered within the objective, or by the deadline for a
+// call without one. A call that waits longer takes its slot from one that could still be in time.
 TimePoint SlotLine::latestStart(const SlotCall &call) const
 {
-    const auto latest = latestInTime(call);
+    const auto latest = latestOnTimeStart(call);
     return call.terms.waitLeft ? std::min<TimePoint>(latest, call.arrived + *call.terms.waitLeft) : latest;
 }
 
-TimePoint SlotLine::latestInTime(const SlotCall &call) const
+TimePoint SlotLine::latestOnTimeStart(const SlotCall &call) const
 {
-    // A running call needs the answer, late or not, or all its work is lost.
-    const auto wanted = call.terms.forRunningCall ? call.deadline : std::min(call.objective, call.deadline);
-    return wanted - neededTime(call);
+    // Without the response to a nested call, even a late one, the work of its parent call is lost.
+    const auto responseBy = call.terms.forRunningCall ? call.deadline : std::min(call.objective, call.deadline);
+    return responseBy - expectedServiceTime(call);
 }
 
 bool SlotLine::canStartAt(const SlotCall &call, TimePoint bodyHere) const
 {
     const auto now = Clock::now();
     const auto slotFree = running() < limit() ? now : now + expectedWait(call);
-    const auto span = std::chrono::duration<double>(latestInTime(call) - now) * MaxBodyShare;
+    const auto span = std::chrono::duration<double>(latestOnTimeStart(call) - now) * MaxBodyTimeShare;
     return std::max<TimePoint>(bodyHere, slotFree) <= now + std::chrono::duration_cast<Clock::duration>(span);
 }
 
@@ -147,16 +145,15 @@
     return {!call.terms.forRunningCall, call.terms.priority, latestStart(call)};
 }
 
-// With all slots taken, one comes free after a usual call's time divided by
-// the slots, on average.
+// Average time between two slots that become free while all slots are in use.
 std::chrono::microseconds SlotLine::slotInterval() const
 {
     const auto known = m_times.usual();
-    const auto usual = known.count() == 0 ? UnknownCallTime : known;
-    return usual / std::max<std::uint32_t>(m_admission.limit(), 1);
+    const auto average = known.count() == 0 ? UnknownLatency : known;
+    return average / std::max<std::uint32_t>(m_admission.limit(), 1);
 }
 
-// Each call ahead takes one of the slots that come free.
+// Each call ahead in the queue takes one of the slots that become free.
 std::chrono::microseconds SlotLine::expectedWait(const SlotCall &call) const
 {
     if (!m_policy.byUrgency) {
@@ -165,12 +162,11 @@
     return slotInterval() * (m_queue.ahead(urgencyOf(call)) + 1);
 }
 
-// What makes the call late here is as good as a wait: it says how much better
-// another target would be.
+// Lateness counts like a wait, so that targets that would answer too late compare badly.
 std::chrono::microseconds SlotLine::costOf(const SlotCall &call) const
 {
     const auto wait = running() < limit() ? Microseconds(0) : expectedWait(call);
-    const auto end = Clock::now() + neededTime(call);
+    const auto end = Clock::now() + expectedServiceTime(call);
     const bool late = m_policy.byUrgency && call.objective < end;
     return wait + (late ? std::chrono::duration_cast<Microseconds>(end - call.objective) : Microseconds(0));
 }
@@ -183,28 +179,28 @@
     return slotInterval() * (m_queue.size() + 1);
 }
 
-void SlotLine::refuseHopeless()
+void SlotLine::rejectUnschedulable()
 {
     while (const auto ticket = m_queue.takeHopeless(Clock::now(), slotInterval())) {
         wake(*ticket, false);
     }
 }
 
-// A call that may wait here has been offered elsewhere; one that may not still
-// has other targets to go to.
-bool SlotLine::goesElsewhere(const SlotCall &call)
+// Only calls that may not wait are rejected for lateness: they still have other targets to go to,
+// while a call that may wait has been offered to those before.
+bool SlotLine::rejectsAsLate(const SlotCall &call)
 {
-    const bool mayChoose = m_policy.byUrgency && !call.terms.mayWait && running() < limit();
-    return mayChoose && m_lateOffers.turnsAway(call.entered, call.entered + neededTime(call), call.objective);
+    const bool hasAlternatives = m_policy.byUrgency && !call.terms.mayWait && running() < limit();
+    return hasAlternatives && m_lateOffers.turnsAway(call.entered, call.entered + expectedServiceTime(call), call.objective);
 }
 
 asio::awaitable<bool> SlotLine::enter(SlotCall &call, ServerConnection &connection)
 {
     call.entered = Clock::now();
     if (m_policy.byUrgency && call.objective != TimePoint::max() && call.objective > call.entered) {
-        m_times.suppose(call.route, std::chrono::duration_cast<Microseconds>((call.objective - call.entered) * SupposedShare));
+        m_times.suppose(call.route, std::chrono::duration_cast<Microseconds>((call.objective - call.entered) * AssumedLatencyShare));
     }
-    if (goesElsewhere(call)) {
+    if (rejectsAsLate(call)) {
         co_return false;
     }
     if (m_queue.size() == 0 && m_admission.tryEnter(call.entered)) {
@@ -224,16 +220,16 @@
     const QueueTicket ticket(m_nextTicket++);
     waiter->route = call.route;
     waiter->timer.expires_at(waitLimit(call));
-    const auto refused = m_queue.push(ticket, call.route, m_policy.byUrgency ? MaxWaiting : m_admission.queueCapacity(), urgencyOf(call));
-    if (refused == ticket) {
+    const auto rejected = m_queue.push(ticket, call.route, m_policy.byUrgency ? MaxWaiting : m_admission.queueCapacity(), urgencyOf(call));
+    if (rejected == ticket) {
         co_return false;
     }
     m_waiters.emplace(ticket.value(), waiter);
-    if (refused) {
-        wake(*refused, false);
+    if (rejected) {
+        wake(*rejected, false);
     }
-    refuseHopeless();
-    // A call that the caller gives up leaves the line at once.
+    rejectUnschedulable();
+    // A call whose caller cancels it leaves the queue at once.
     connection.cancellation().setHook([weak = weak_from_this(), ticket] {
         if (const auto self = weak.lock()) {
             self->wake(ticket, false);
@@ -251,8 +247,8 @@
 void SlotLine::wake(QueueTicket ticket, bool admitted)
 {
     const auto found = m_waiters.find(ticket.value());
-    // A call that has got its slot keeps it, though its caller goes at the same
-    // moment; it gives the slot back itself.
+    // A call that has been given a slot keeps it even if its caller disconnects at the same moment;
+    // the call releases the slot itself.
     if (found != m_waiters.end() && !found->second->admitted) {
         found->second->admitted = admitted;
         found->second->timer.cancel();
@@ -278,14 +274,14 @@
     admitWaiting();
 }
 
-void SlotLine::leave(const SlotCall &call, AdmissionController::End end)
+void SlotLine::leave(const SlotCall &call, AdmissionController::End reason)
 {
     m_queue.ended(call.route);
-    if (end == AdmissionController::End::Answered) {
+    if (reason == AdmissionController::End::Answered) {
         m_times.observed(call.route, std::chrono::duration_cast<Microseconds>(Clock::now() - call.entered));
     }
-    m_admission.leave(call.route, call.entered, end, Clock::now());
-    if (end == AdmissionController::End::GivenUp || end == AdmissionController::End::Cancelled) {
+    m_admission.leave(call.route, call.entered, reason, Clock::now());
+    if (reason == AdmissionController::End::GivenUp || reason == AdmissionController::End::Cancelled) {
         asio::co_spawn(m_context, admitWhenReleased(), asio::detached);
     }
     admitWaiting();
--- a/src/daemon/slotline.h
+++ b/src/daemon/slotline.h
@@ -14,69 +14,69 @@
 
 namespace Galenahill {
 
-// One call that needs a slot of the target, from its arrival to its answer.
+// A call that needs a slot of the target, from its arrival to its response.
 struct SlotCall
 {
-    // As its caller named it.
+    // Id that the caller gave the call.
     std::string id;
     RouteName route;
     TimePoint arrived;
     TimePoint deadline;
-    // When it got its slot, or was refused one.
+    // When the call got its slot, or was denied one.
     TimePoint entered;
     CallTerms terms;
-    // When the call should be answered.
+    // Time by which the latency objective asks for the response.
     TimePoint objective = TimePoint::max();
     std::string callerService;
-    // Length of its body, if that was taken whole before.
+    // Length of the request body, if it was buffered as a whole before; else zero.
     std::uint64_t heldBytes = 0;
 };
 
-// The slots of one target and the line of calls before them. Used on the data
-// thread only.
+// The slots of one target and the queue of calls that wait for them. Used on the data thread only.
 class SlotLine : public std::enable_shared_from_this<SlotLine>
 {
 public:
     SlotLine(asio::io_context &context, const CallPolicy &policy);
 
-    // Calls that the target runs at a time.
+    // Sets the number of calls that the target runs at a time.
     void setSlots(std::uint32_t slots);
 
-    // Another target, or another start of it, stands behind the line.
+    // Resets what was learnt of the target, after the target was restarted or replaced.
     void restart();
 
-    // Refuses every further call from now on, and those that wait.
+    // Rejects the waiting calls and all further ones.
     void startDraining();
     bool draining() const;
 
-    // Takes a slot, after waiting for one if the call may and can still be
-    // answered in time; false if it got none.
+    // Takes a slot, and waits for one if the call may wait and can still be answered in time. Returns
+    // false if the call got none.
     asio::awaitable<bool> enter(SlotCall &call, ServerConnection &connection);
 
-    // Gives the slot back.
-    void leave(const SlotCall &call, AdmissionController::End end);
+    // Releases the call's slot.
+    void leave(const SlotCall &call, AdmissionController::End reason);
 
-    // Lets waiting calls in as far as there are slots, or refuses them all:
-    // they haven't run, and other targets can still take them.
+    // Give the free slots to waiting calls, or reject all waiting calls, which have not run and can
+    // still go to other targets.
     void admitWaiting();
     void refuseWaiting();
 
-    // How long the call would wait, and a further one of no special urgency.
+    // Expected wait for a slot, for the given call and for a further call at the end of the queue.
     std::chrono::microseconds expectedWait(const SlotCall &call) const;
     std::chrono::microseconds expectedWait() const;
 
-    // Whether the call, if its body is here by then, is expected to get a slot early
-    // enough to be in time.
+    // Whether the call, with its body complete at the given time, is expected to get a slot early
+    // enough to be answered in time.
     bool canStartAt(const SlotCall &call, TimePoint bodyHere) const;
 
-    // What the call would lose here: its wait, and what it would be late by.
+    // Cost of running the call here: its expected wait plus the time by which it would miss its
+    // objective.
     std::chrono::microseconds costOf(const SlotCall &call) const;
 
     std::uint32_t running() const;
     std::uint32_t limit() const;
     std::size_t waiting() const;
 
-    // The least time that calls take; zero while unknown.
+    // Shortest usual latency of any route's calls; zero while unknown.
     std::chrono::microseconds fastest() const;
 
 private:
@@ -84,13 +84,13 @@
 
     TimePoint waitLimit(const SlotCall &call) const;
     TimePoint latestStart(const SlotCall &call) const;
-    TimePoint latestInTime(const SlotCall &call) const;
+    TimePoint latestOnTimeStart(const SlotCall &call) const;
     CallUrgency urgencyOf(const SlotCall &call) const;
-    std::chrono::microseconds neededTime(const SlotCall &call) const;
-    bool goesElsewhere(const SlotCall &call);
+    std::chrono::microseconds expectedServiceTime(const SlotCall &call) const;
+    bool rejectsAsLate(const SlotCall &call);
     std::chrono::microseconds slotInterval() const;
     asio::awaitable<bool> waitForSlot(SlotCall &call, ServerConnection &connection);
-    void refuseHopeless();
+    void rejectUnschedulable();
     void wake(QueueTicket ticket, bool admitted);
     asio::awaitable<void> admitWhenReleased();
 
--- a/src/daemon/targetprobe.cpp
+++ b/src/daemon/targetprobe.cpp
@@ -8,14 +8,14 @@
 constexpr Milliseconds ReadyInterval{250};
 constexpr Milliseconds Timeout{1000};
 
-// Connections to the target that are kept open, so that calls which come after
-// a pause don't wait for new ones.
+// Number of connections to the target that are kept open, so that calls after a pause do not wait for
+// new ones.
 constexpr std::size_t WarmConnections = 4;
 
-// Unanswered probes in a row before a target counts as not ready, and probes
-// that it answered with "not ready"; one alone says little.
-constexpr int LostToLeave = 3;
-constexpr int RefusedToLeave = 2;
+// Number of consecutive checks without a response, and of checks with a response other than "ready",
+// after which the target counts as not ready. A single failed check can be chance.
+constexpr int UnansweredThreshold = 3;
+constexpr int NotReadyThreshold = 2;
 
 }
 
@@ -35,9 +35,9 @@
         if (m_state == MemberState::Ready) {
             co_await m_options.client.warm(m_options.target, WarmConnections, Clock::now() + Timeout);
         }
-        const bool settled = m_state == MemberState::Ready && m_lost == 0 && m_refused == 0;
+        const bool stable = m_state == MemberState::Ready && m_unanswered == 0 && m_notReady == 0;
         ErrorCode ignored;
-        timer.expires_after(settled ? ReadyInterval : StartingInterval);
+        timer.expires_after(stable ? ReadyInterval : StartingInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
@@ -54,8 +54,8 @@
         return;
     }
     if (answer && answer->result() == http::status::ok) {
-        m_lost = 0;
-        m_refused = 0;
+        m_unanswered = 0;
+        m_notReady = 0;
         setState(MemberState::Ready);
         return;
     }
@@ -64,8 +64,8 @@
         setState(MemberState::Draining);
         return;
     }
-    ++(answer ? m_refused : m_lost);
-    if (m_lost >= LostToLeave || m_refused >= RefusedToLeave) {
+    ++(answer ? m_notReady : m_unanswered);
+    if (m_unanswered >= UnansweredThreshold || m_notReady >= NotReadyThreshold) {
         setState(MemberState::Starting);
     }
 }
--- a/src/daemon/targetprobe.h
+++ b/src/daemon/targetprobe.h
@@ -8,8 +8,7 @@
 
 namespace Galenahill {
 
-// Asks a target that doesn't announce itself how it is, and keeps connections to it
-// warm.
+// Health checker for a target that does not announce itself. Also keeps idle connections to it open.
 class TargetProbe
 {
 public:
@@ -20,15 +19,15 @@
         Endpoint target;
         // Path of the health check.
         std::string path;
-        // Whether to ask no more.
+        // Whether to stop the health checks.
         std::function<bool()> stopped;
-        // The target's state after each answer that tells it.
+        // Called with the target's state after each check that determines it.
         std::function<void(MemberState)> changed;
     };
 
     explicit TargetProbe(Options options);
 
-    // Asks until it is stopped.
+    // Checks the target periodically until stopped.
     asio::awaitable<void> run();
 
 private:
@@ -37,8 +36,8 @@
 
     Options m_options;
     MemberState m_state = MemberState::Starting;
-    int m_lost = 0;
-    int m_refused = 0;
+    int m_unanswered = 0;
+    int m_notReady = 0;
 };
 
 }
--- a/src/daemon/targetservice.cpp
+++ b/src/daemon/targetservice.cpp
@@ -6,7 +6,7 @@
 
 constexpr Milliseconds CheckTimeout{800};
 
-// Between two health checks of a target that can't be trusted yet.
+// Time between two health checks of a target whose announcement has not been confirmed yet.
 constexpr Milliseconds CheckInterval{300};
 
 const char *verdictName(TargetRegistration::Verdict verdict)
@@ -41,7 +41,7 @@
     TargetVersion publishedVersion;
     bool checking = false;
 
-    TargetRegistration::Verdict take(const TargetMessage &message);
+    TargetRegistration::Verdict processMessage(const TargetMessage &message);
     void publish(const char *cause);
     asio::awaitable<void> check();
 };
@@ -53,7 +53,7 @@
 
 TargetService::~TargetService() = default;
 
-TargetRegistration::Verdict TargetService::Private::take(const TargetMessage &message)
+TargetRegistration::Verdict TargetService::Private::processMessage(const TargetMessage &message)
 {
     if (const auto *leaving = std::get_if<TargetLeaving>(&message)) {
         return registration.left(leaving->id, leaving->startedAt);
@@ -69,10 +69,13 @@
         keep->options.log(LogLevel::Warning, "announcement-refused", {{"reason", message.error().message}});
         co_return makeErrorResponse(http::status::bad_request, "invalid", message.error().message);
     }
-    const auto verdict = keep->take(*message);
+    const auto verdict = keep->processMessage(*message);
     if (verdict == TargetRegistration::Verdict::Foreign) {
-        keep->options.log(LogLevel::Warning, "announcement-refused", {{"reason", "it names another service or address than this VM's"}});
-        co_return makeErrorResponse(http::status::bad_request, "foreign", "this node registers the target of its own VM only");
+        keep->options.log(
+            LogLevel::Warning, "announcement-refused", {{"reason", "the announcement names another service or address than those of this VM's target"}});
+        co_return makeErrorResponse(http::status::bad_request,
+            "foreign",
+            "this node accepts announcements only from the target of its own VM, with its configured service and address");
     }
     keep->publish(verdictName(verdict));
     if (keep->registration.needsCheck() && !keep->checking) {
--- a/src/daemon/targetservice.h
+++ b/src/daemon/targetservice.h
@@ -12,7 +12,7 @@
 
 namespace Galenahill {
 
-// A target says that it leaves.
+// A target's notice that it accepts no more calls.
 struct TargetLeaving
 {
     std::string id;
@@ -21,8 +21,8 @@
 
 using TargetMessage = std::variant<TargetAnnouncement, TargetLeaving>;
 
-// Takes the announcements of the target beside this node and keeps the sidecar
-// and the other nodes informed of its state.
+// Handles the announcements of the local target, and reports its state to the sidecar and the other
+// nodes.
 class TargetService
 {
 public:
@@ -31,16 +31,17 @@
         asio::io_context &context;
         HttpClient &client;
         TargetRegistration::Options registration;
-        // Reads a request to the registration address. An Invalid request names
-        // no target, and changes nothing.
+        // Decodes a request to the registration endpoint. Returns Invalid if the request does not describe
+        // a target; it then changes nothing.
         std::function<Result<TargetMessage>(const HttpRequest &request)> decode;
-        // Path at which a target of the service says how it is.
+        // Returns the path of the service's health check.
         std::function<std::string()> healthPath;
-        // Field of a health answer that names the target; empty: none does.
+        // Header field of health check responses that holds the target's id; empty if there is none.
         std::string targetIdField;
         Logger log;
-        // The target's state, id, slots or version changed. The sidecar's door is shut
-        // when this returns, before the target gets its answer.
+        // Called when the target's state, id, slots or version changes. Returns only after the sidecar has
+        // stopped sending calls to a target that accepts none, so that this precedes the response to the
+        // target.
         std::function<void(const TargetAnnouncement &target, MemberState state)> changed;
     };
 
@@ -49,15 +50,15 @@
 
     asio::awaitable<HttpResponse> handle(HttpRequest request);
 
-    // Looks whether the target has fallen silent; call it a few times a second.
+    // Checks for a heartbeat timeout of the target. To be called a few times a second.
     void tick();
 
-    // A connection to the target was refused.
+    // Records that the target could not be reached.
     void targetLost();
 
     MemberState state() const;
 
-    // The target as it last announced itself; nothing before that.
+    // The target's last announcement, if any.
     const std::optional<TargetAnnouncement> &target() const;
 
 private:
