--- a/autotests/unit/configfollowertest.cpp
+++ b/autotests/unit/configfollowertest.cpp
@@ -12,7 +12,7 @@
     return {{{"main", content, false}}, ObjectVersion(version)};
 }
 
-// A document is a number: its revision.
+// Decodes a document that consists of its revision number.
 Result<DecodedConfig> decodeNumber(const std::string &content)
 {
     if (content.empty() || content.find_first_not_of("0123456789") != std::string::npos) {
@@ -40,7 +40,7 @@
             .stopping = stopping};
     }
 
-    // Runs until so many calls were made to the store, however slow the machine.
+    // Runs until the store has got that many calls, however slow the machine.
     void runTo(std::size_t calls)
     {
         ConfigFollower follower(options());
@@ -65,9 +65,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(following, Fixture)
 
-// The store drops its history while the watch waits. What changed meanwhile is
-// in no event that it still gives; the kind is read whole again.
-BOOST_AUTO_TEST_CASE(ReadsTheWholeAfterALostHistory)
+// The store drops its history while a watch waits, so that no event contains the changes
+// made meanwhile. The kind has to be listed again.
+BOOST_AUTO_TEST_CASE(ListsAgainAfterALostHistory)
 {
     store.answers = {set(10, "1"), failure(ErrorKind::NotFound, "gone"), set(20, "5")};
     runTo(4);
@@ -77,7 +77,7 @@
     BOOST_TEST(failures == 1);
 }
 
-// Several changes come in one answer of the watch: only the last counts.
+// One response of the watch contains several changes, of which only the last counts.
 BOOST_AUTO_TEST_CASE(TakesTheLastOfSeveralChanges)
 {
     DocumentSet changes{{{"main", "2", false}, {"other", "9", false}, {"main", "3", false}}, ObjectVersion(12)};
@@ -87,9 +87,9 @@
     BOOST_TEST(store.calledWith.back() == "watch config 12");
 }
 
-// A document doesn't decode. Nothing of it is taken, the log says so, and the
-// next good one is.
-BOOST_AUTO_TEST_CASE(KeepsTheLastGoodOne)
+// A document does not decode. It is rejected as a whole and logged, and the next valid
+// document is adopted.
+BOOST_AUTO_TEST_CASE(RejectsAnInvalidDocument)
 {
     store.answers = {set(10, "1"), set(11, "half"), set(12, "4")};
     runTo(4);
@@ -97,9 +97,8 @@
     BOOST_TEST(std::count(events.begin(), events.end(), "stored-revision-invalid") == 1);
 }
 
-// A node that doesn't watch reads the document once, at its start, and then
-// leaves the store alone: with each node watching, every change would come over
-// each node's own link in full.
+// A node that is not a watcher reads the document once, at its start. If every node
+// watched, each change would be sent in full over every node's link.
 BOOST_AUTO_TEST_CASE(ReadsOnceIfItDoesNotWatch)
 {
     watches = false;
@@ -112,10 +111,10 @@
     stopping = true;
 }
 
-// A node that has just read the document comes to watch, as each that starts
-// before it knows the others. It goes on from what it read: read once more by all
-// nodes that start together, the document would come over each link twice.
-BOOST_AUTO_TEST_CASE(GoesOnFromAFreshRead)
+// A node that has just read the document becomes a watcher, as every node does that
+// starts before it knows its peers. It resumes from its read: otherwise the document
+// would be sent twice over the link of each node of a fleet that starts together.
+BOOST_AUTO_TEST_CASE(ResumesFromARecentRead)
 {
     watches = false;
     store.answers = {set(10, "1"), set(11, "2")};
--- a/autotests/unit/configmemorytest.cpp
+++ b/autotests/unit/configmemorytest.cpp
@@ -1,7 +1,7 @@
-// What a node takes from the heap for a large configuration. Users pay for the
-// peak of each node's memory, and the largest of their deployments has some
-// 1,600 routes that hardly differ. Counted are bytes, which are the same on each
-// machine; the bounds are a tenth above what was counted, rounded up.
+// Heap use of a node with a large configuration. Users pay for the peak of each node's
+// memory, and the largest of their deployments has some 1,600 routes that hardly differ.
+// The tests count bytes, which are the same on each machine; the bounds are a tenth
+// above the counted figures, rounded up.
 
 #include "adapters/codec/deltabases.h"
 #include "adapters/codec/jsonsplice.h"
@@ -35,7 +35,7 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(DecodingHoldsLittleMoreThanItsResult)
+BOOST_AUTO_TEST_CASE(DecodingPeaksLittleAboveItsResult)
 {
     const auto text = document(1);
     const auto before = HeapCounter::restartPeak();
@@ -48,8 +48,8 @@
     BOOST_TEST(peak < 850'000);
 }
 
-// The store's answer holds the document once and is itself held meanwhile.
-BOOST_AUTO_TEST_CASE(ReadingTheStoresAnswerTakesTwoMoreTexts)
+// The response contains the document once and stays in memory meanwhile.
+BOOST_AUTO_TEST_CASE(SplicingAResponseTakesOneMoreCopyOfTheDocument)
 {
     const auto text = document(1);
     const auto answer = R"({"items":[{"metadata":{"name":"main"},"content":)" + text + R"(}],"more":false})";
--- a/autotests/unit/headwatchertest.cpp
+++ b/autotests/unit/headwatchertest.cpp
@@ -42,10 +42,10 @@
 
 }
 
-// The platform lets the watch stall: it neither answers nor ends. The node
-// would serve the old revision until the watch's time limit, beyond what
-// operators are promised; the look beside the watch finds the new one.
-BOOST_FIXTURE_TEST_CASE(StalledWatchIsMadeUpForByALook, Fixture)
+// The watch stalls: it neither returns nor fails. The node would serve the old revision
+// until the watch's time limit, longer than operators are promised; the check beside
+// the watch finds the new revision.
+BOOST_FIXTURE_TEST_CASE(CheckFindsARevisionThatAStalledWatchMisses, Fixture)
 {
     apply();
     watcher.check();
@@ -60,10 +60,10 @@
     BOOST_TEST(found.size() == 1U);
 }
 
-// The store is restored from a backup, and no apply follows. Were the whole
-// fleet to restart then, it would serve the backup and the accepted change
-// would be gone; so a watcher writes the revision in force back.
-BOOST_FIXTURE_TEST_CASE(OlderStoreGetsTheRevisionInForceBack, Fixture)
+// The store is restored from a backup, and no apply follows. If the whole fleet then
+// restarted, it would serve the backup and lose the accepted change, so a watcher writes
+// the revision in force back.
+BOOST_FIXTURE_TEST_CASE(RestoredStoreGetsTheRevisionInForceBack, Fixture)
 {
     state->watchesStore = true;
     const auto accept = [this](const std::string &id, const std::string &text) {
@@ -84,9 +84,9 @@
     }
 }
 
-// An apply was accepted on the restored store before any watcher mended it.
-// Writing the revision in force over it would drop that change.
-BOOST_FIXTURE_TEST_CASE(OlderStoreWithChangesOfItsOwnIsLeftToTheNextApply, Fixture)
+// An apply was accepted on the restored store before a watcher repaired it. Overwriting
+// it with the revision in force would drop that change.
+BOOST_FIXTURE_TEST_CASE(RestoredStoreWithNewChangesIsLeftToTheNextApply, Fixture)
 {
     state->watchesStore = true;
     apply();
@@ -112,9 +112,9 @@
     BOOST_TEST(elsewhere.readHead()->manifest.change(ApplyId("other")).has_value());
 }
 
-// The store is out when the node starts, then comes back. The node must say
-// so, so that it can open by what several members say, and go on asking.
-BOOST_FIXTURE_TEST_CASE(StartWithTheStoreOutGoesOnAsking, Fixture)
+// The store is unavailable when the node starts, and returns later. The node must report
+// the failure, so that it can become ready by what several members advertise, and retry.
+BOOST_FIXTURE_TEST_CASE(StartRetriesWhileTheStoreIsUnavailable, Fixture)
 {
     apply();
     store.before = [this](const std::string &, const std::string &) -> std::optional<Error> {
--- a/autotests/unit/memberdirectorytest.cpp
+++ b/autotests/unit/memberdirectorytest.cpp
@@ -30,8 +30,8 @@
 
 struct Fixture
 {
-    // Runs until so many calls were made, however slow the machine, and then for
-    // that time in which further ones would be.
+    // Runs until the store has got that many calls, however slow the machine, and then
+    // for a time in which unexpected further calls would be made.
     void run(std::size_t calls, Milliseconds afterwards)
     {
         MemberDirectory directory({.context = context,
@@ -77,8 +77,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(directory, Fixture)
 
-// Calls to the store are counted, and a whole fleet makes them when it starts:
-// one write and one read are all that a node needs.
+// Calls to the store are counted, and a whole fleet makes them when it starts: a node
+// must need only one write and one list.
 BOOST_AUTO_TEST_CASE(WritesAndReadsOnce)
 {
     store.answers = {contactsOf({"a", "b"}), contactsOf({"a", "b"})};
@@ -88,10 +88,10 @@
     BOOST_TEST(consulted);
 }
 
-// The write fails though the read succeeds. A node that starts at the same moment
-// may have read before this one is written, so it has to be written, and the list
-// read once more after that.
-BOOST_AUTO_TEST_CASE(ReadsAgainOnceItIsWritten)
+// The write fails though the list succeeds. A node that starts at the same moment may
+// list the contacts before this one is written, so the write has to be retried and the
+// contacts listed once more after it.
+BOOST_AUTO_TEST_CASE(ListsAgainAfterALateWrite)
 {
     store.putAnswer = failure(ErrorKind::Unavailable, "the store is out");
     store.answers = {contactsOf({"a"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
@@ -102,9 +102,9 @@
     BOOST_TEST(store.calledWith == expected, boost::test_tools::per_element());
 }
 
-// The first node of all finds nobody. It goes on looking, since whoever starts
-// next may have been kept from the store.
-BOOST_AUTO_TEST_CASE(ALoneNodeGoesOnLooking)
+// The first node of a fleet finds no other member. It continues to list the contacts,
+// since the next node may be unable to reach the store.
+BOOST_AUTO_TEST_CASE(ALoneNodeKeepsListing)
 {
     store.answers = {contactsOf({"b"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     run(3, Milliseconds(50));
@@ -112,10 +112,10 @@
     BOOST_TEST(others.size() == 1U);
 }
 
-// A VM was lost for good, and no member remembers it. Its contact is removed, at the
-// version that was read: a VM that comes back at that moment has written it anew.
-// Contacts of members that are known, and of this node, stay.
-BOOST_AUTO_TEST_CASE(RemovesContactsThatNobodyKnows)
+// A VM was lost for good, and no member remembers it. Its contact is removed, provided
+// that it still has the version that was read: a VM that comes back at that moment has
+// rewritten it. Contacts of known members and of this node stay.
+BOOST_AUTO_TEST_CASE(RemovesStaleContacts)
 {
     sweeps = true;
     store.answers = {contactsOf({"a", "b"}), contactsOf({"a", "b", "lost"})};
@@ -125,7 +125,7 @@
     BOOST_TEST(std::vector<std::string>(store.calledWith.begin(), store.calledWith.begin() + 4) == expected, boost::test_tools::per_element());
 }
 
-// Guards against a write a node when a whole fleet returns.
+// Guards against one write by each node when a whole fleet restarts.
 BOOST_AUTO_TEST_CASE(ARestartedNodeFindsItsContact)
 {
     firstStart = false;
@@ -134,7 +134,7 @@
     BOOST_TEST(store.calledWith == std::vector<std::string>({"list contacts"}), boost::test_tools::per_element());
 }
 
-// It was removed at a planned stop, or the VM is new.
+// The contact was removed at a planned stop, or the VM is new.
 BOOST_AUTO_TEST_CASE(ARestartedNodeWithoutAContactWritesOne)
 {
     firstStart = false;
--- a/autotests/unit/platformnodetest.cpp
+++ b/autotests/unit/platformnodetest.cpp
@@ -1,5 +1,4 @@
-// A whole node of the users' platform in one process, on real sockets, with the
-// store played by the test.
+// A whole PlatformNode in one process, with real sockets and a scripted store.
 
 #include "daemon/platformnode.h"
 #include "httptest.h"
@@ -74,15 +73,15 @@
 
 }
 
-// All nodes start before the operator has written the first configuration: the
-// store answers, and has none. A node that takes that for an empty configuration
-// would tell callers that their routes don't exist, and one that ends over it
-// would be missing when the first comes. It says that it isn't ready, and that
-// calls didn't run.
+// All nodes start before the operator has written the first configuration: the store
+// responds that it has none. A node that took this for an empty configuration would tell
+// callers that their routes do not exist, and one that crashed over it would be missing
+// when the first configuration comes. The node must report that it is not ready and
+// reject calls as not run.
 BOOST_AUTO_TEST_CASE(WaitsForTheFirstConfiguration)
 {
     Fixture fixture({DocumentSet{{}, ObjectVersion(5)}, DocumentSet{{}, ObjectVersion(5)}});
-    // Long enough for the node to have read the store and looked at its answer.
+    // Long enough for the node to read the store and process the response.
     std::this_thread::sleep_for(Milliseconds(500));
     BOOST_TEST(Fixture::get(settings().readiness, "/ready").find("503") != std::string::npos);
     BOOST_TEST(Fixture::get(settings().ingress, "/orders/1").find("503") != std::string::npos);
--- a/autotests/unit/platformtest.cpp
+++ b/autotests/unit/platformtest.cpp
@@ -1,5 +1,5 @@
-// The platform's names and formats, decoded. Examples are written by hand after
-// its pages.
+// Decoding of the platform's names and formats. The examples are written by hand from
+// the platform's documentation.
 
 #include "core/config/configsnapshot.h"
 #include "core/config/platformnodesettings.h"
@@ -46,7 +46,7 @@
     return *snapshot;
 }
 
-// The document without one field, wherever it stands in `where`.
+// The document without that field of the object at `where`.
 std::string without(Json document, const Json::json_pointer &where, const std::string &field)
 {
     document[where].erase(field);
@@ -73,8 +73,8 @@
     BOOST_TEST(decoded->definitions.routes[2].split.size() == 2U);
 }
 
-// The host selects first, then the longest prefix; a prefix ends with a slash,
-// so that what only looks like it has no route.
+// The host is matched first, then the longest prefix. A prefix ends with a slash, so that
+// "/xy/" does not match "/x/".
 BOOST_AUTO_TEST_CASE(RoutesByHostAndLongestPrefix)
 {
     const auto snapshot = snapshotOf(Document);
@@ -92,9 +92,9 @@
     BOOST_TEST(name("three.example", "/x/1") == "none");
 }
 
-// A document that lacks something, or says something unknown, is refused as a
-// whole: the configuration before it stays in force.
-BOOST_AUTO_TEST_CASE(RefusesADocumentThatIsNotWhole)
+// A document with a missing field or an unknown value is rejected as a whole: the previous
+// configuration stays in force.
+BOOST_AUTO_TEST_CASE(RejectsAnIncompleteDocument)
 {
     const auto document = Json::parse(Document);
     const Json::json_pointer route("/virtual-hosts/0/paths/0");
@@ -114,8 +114,8 @@
     BOOST_TEST(!Platform::decodeConfiguration(text.substr(0, text.size() / 2)).has_value());
 }
 
-// The operator adds a route for large bodies. Unknown, its type made nodes refuse
-// the whole document, so that none of its routes was ever served.
+// The operator adds a route for large bodies. While its type was unknown, nodes rejected
+// the whole document and served none of its routes.
 BOOST_AUTO_TEST_CASE(ReadsARouteForUploads)
 {
     auto document = Json::parse(Document);
@@ -128,8 +128,8 @@
     BOOST_TEST(route.retries == 0U);
 }
 
-// Whoever mends a refused document must find the route among some hundred.
-BOOST_AUTO_TEST_CASE(NamesTheRouteThatIsAtFault)
+// The operator who fixes a rejected document must find the route among some hundred.
+BOOST_AUTO_TEST_CASE(NamesTheInvalidRoute)
 {
     auto document = Json::parse(Document);
     auto &route = document[Json::json_pointer("/virtual-hosts/0/paths/0")];
@@ -140,8 +140,8 @@
     BOOST_TEST(refused.error().message.find("\"maybe\" is none of safe, unsafe and upload") != std::string::npos);
 }
 
-// A route names a service that the document doesn't have.
-BOOST_AUTO_TEST_CASE(RefusesARouteWithoutItsService)
+// A route names a service that is not in the document.
+BOOST_AUTO_TEST_CASE(RejectsARouteOfAnUnknownService)
 {
     auto document = Json::parse(Document);
     document["services"].erase(1);
@@ -164,9 +164,9 @@
     BOOST_TEST(!target.draining);
 }
 
-// Another writer's heartbeat lacks a field, has one of another type, or names a
-// state that isn't known. It names no target, and must not open or shut a door.
-BOOST_AUTO_TEST_CASE(RefusesAHeartbeatWithABadField)
+// A heartbeat from another program lacks a field, has one of another type or an unknown
+// state. It identifies no target and must not change whether the target gets calls.
+BOOST_AUTO_TEST_CASE(RejectsAHeartbeatWithAnInvalidField)
 {
     const auto whole = Json::parse(Heartbeat);
     for (const auto &where : {Json::json_pointer(), Json::json_pointer("/info"), Json::json_pointer("/status")}) {
@@ -187,7 +187,7 @@
     BOOST_TEST(!Platform::decodeTargetMessage(put(Heartbeat, "/other/i-1")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ReadsThatATargetLeaves)
+BOOST_AUTO_TEST_CASE(ReadsATargetsDeparture)
 {
     HttpRequest request(http::verb::delete_, "/instances/i-1", 11);
     auto message = Platform::decodeTargetMessage(request);
@@ -220,7 +220,7 @@
         document.status = Platform::encodeRolloutStatus({.order = {.version = TargetVersion("v2")}, .stage = stage});
         BOOST_TEST((Platform::decodeRollout(document)->stage == stage));
     }
-    // Of an earlier order, of another writer, and cut short.
+    // Of an earlier spec, of another program, malformed or empty.
     for (const auto *status : {R"({"state":"succeeded","target-version":"v1"})",
              R"({"state":"paused","target-version":"v2"})",
              R"({"state":7,"target-version":"v2"})",
@@ -232,7 +232,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(RefusesARolloutThatIsNotWhole)
+BOOST_AUTO_TEST_CASE(RejectsAnIncompleteRollout)
 {
     for (const auto *content : {R"({"target-version":"v2","duration-s":12})",
              R"({"service":"a","duration-s":12})",
@@ -246,8 +246,8 @@
     }
 }
 
-// Broken bytes end in a refusal, never in a crash or a half-read value.
-BOOST_AUTO_TEST_CASE(SurvivesBrokenBytes)
+// Corrupted bytes are rejected, and never cause a crash or a partly decoded value.
+BOOST_AUTO_TEST_CASE(SurvivesCorruptedBytes)
 {
     std::mt19937 random(7);
     constexpr int Rounds = 3000;
@@ -268,7 +268,7 @@
     }
 }
 
-// A setting that is missing or mistyped ends the start with a line that names it.
+// A missing or mistyped setting prevents the start with an error that names it.
 BOOST_AUTO_TEST_CASE(SettingsNameWhatIsWrong)
 {
     const std::string whole = "[node]\nname = n\ndata-centre = z\nservice = a\nfirst-start = true\nstop-timeout-s = 6\n"
--- a/src/daemon/configfollower.cpp
+++ b/src/daemon/configfollower.cpp
@@ -37,7 +37,7 @@
               .log = options.log,
               .firstList = Freshness::Latest,
               .watches = options.watches,
-              .received = [this](DocumentSet documents, bool) { return take(std::move(documents)); },
+              .received = [this](DocumentSet documents, bool) { return documentsReceived(std::move(documents)); },
               .failed = options.storeFailed,
               .stopping = options.stopping})
     {
@@ -45,9 +45,9 @@
 
     Options options;
     DocumentWatcher watcher;
-    std::uint64_t refused = 0;
+    std::uint64_t rejected = 0;
 
-    bool take(DocumentSet documents);
+    bool documentsReceived(DocumentSet documents);
 };
 
 ConfigFollower::ConfigFollower(Options options)
@@ -59,7 +59,7 @@
 
 std::uint64_t ConfigFollower::refused() const
 {
-    return d->refused;
+    return d->rejected;
 }
 
 void ConfigFollower::start()
@@ -67,8 +67,8 @@
     d->watcher.start();
 }
 
-// Whether there was anything to take.
-bool ConfigFollower::Private::take(DocumentSet documents)
+// Returns whether the documents include the configuration.
+bool ConfigFollower::Private::documentsReceived(DocumentSet documents)
 {
     auto &items = documents.documents;
     const auto last = std::find_if(items.rbegin(), items.rend(), [&](const StoredDocument &item) { return item.name == options.name && !item.removed; });
@@ -79,7 +79,7 @@
     const auto bytes = last->content.size();
     auto revision = revisionOf(std::move(last->content), options.decode);
     if (!revision) {
-        ++refused;
+        ++rejected;
         options.log(LogLevel::Error, "stored-revision-invalid", {{"reason", revision.error().message}, {"bytes", bytes}});
         return true;
     }
--- a/src/daemon/configfollower.h
+++ b/src/daemon/configfollower.h
@@ -9,7 +9,7 @@
 
 namespace Galenahill {
 
-// A configuration document that an operator wrote, decoded.
+// A configuration document as written by an operator, decoded.
 struct DecodedConfig
 {
     Revision revision;
@@ -18,13 +18,13 @@
 
 using ConfigDecoder = std::function<Result<DecodedConfig>(const std::string &content)>;
 
-// Makes a revision of a document's text. A document that doesn't decode, or
-// whose parts don't fit each other, is refused as a whole.
+// Builds a revision from a document's text. A document that does not decode, or
+// whose parts are inconsistent, is rejected as a whole.
 Result<std::shared_ptr<const ConfigRevision>> revisionOf(std::string content, const ConfigDecoder &decode);
 
-// Follows the one document that holds the whole configuration: reads it once,
-// and watches its kind while this node has that role. The others fetch what the
-// watchers found, as a delta from a member.
+// Watches the document that holds the whole configuration. Every node reads it
+// once at its start. From then on only the watchers, a few members of each data
+// centre, read it; the other nodes pull new revisions from members, as deltas.
 class ConfigFollower
 {
 public:
@@ -37,11 +37,12 @@
         ConfigDecoder decode;
         std::uint64_t seed = 1;
         Logger log;
+        // Called with each valid revision read from the store.
         std::function<void(std::shared_ptr<const ConfigRevision>)> found;
-        // The store answered; zero if it has no configuration yet.
+        // The store answered; the revision is zero if it has no configuration yet.
         std::function<void(Revision)> storeAnswered;
         std::function<void()> storeFailed;
-        // Whether this node watches.
+        // Whether this node is a watcher.
         std::function<bool()> watches;
         const bool &stopping;
     };
@@ -51,7 +52,7 @@
 
     void start();
 
-    // Revisions in the store that were refused as a whole since the start.
+    // Number of revisions in the store that were rejected since the process started.
     std::uint64_t refused() const;
 
 private:
--- a/src/daemon/contactkeeper.cpp
+++ b/src/daemon/contactkeeper.cpp
@@ -14,22 +14,21 @@
 constexpr Milliseconds IdleInterval{500};
 constexpr Milliseconds ContactInterval{10000};
 
-// Contents that no kept revision names cost room only, so a round costs the
-// store a call or two each few minutes.
+// Unreferenced blobs only take up space, so the collector runs rarely: a call or
+// two to the store every few minutes.
 constexpr Milliseconds CollectionInterval{600000};
 
-// Contacts that a starting node takes members from.
+// Contacts from which a starting node fetches the member list.
 constexpr std::size_t ContactsJoined = 2;
 
-// A starting node knows only itself and seems to hold every role; by then it
-// has heard of the others.
+// A starting node knows only itself and would assume every role; after this time
+// it has learned of the other members.
 constexpr Milliseconds FirstContactsDelay{1000};
 
-// Time over which a fleet that starts at once spreads its first calls.
+// Time over which the nodes of a fleet that starts at once spread their first store calls.
 constexpr Milliseconds StartSpread{1000};
 
-// Time between two looks at the head beside the watch; see
-// HeadWatcher::check.
+// Time between two reads of the head beside the watch; see HeadWatcher::check.
 constexpr Milliseconds HeadCheckInterval{5000};
 
 std::string toJson(const std::vector<Endpoint> &contacts)
@@ -41,7 +40,7 @@
     return json.dump();
 }
 
-// What doesn't decode is left out: contacts are hints only.
+// Skips entries that do not decode, since contacts are only hints.
 std::vector<Endpoint> contactsFromJson(const std::string &text)
 {
     std::vector<Endpoint> contacts;
@@ -77,8 +76,8 @@
 
     Options options;
     std::mt19937_64 random;
-    TimePoint nextContacts;
-    TimePoint nextCheck;
+    TimePoint nextContactUpdate;
+    TimePoint nextHeadCheck;
     TimePoint nextCollection;
     BlobCollector collector;
 
@@ -94,13 +93,13 @@
 
     Result<Contacts> readContacts(const std::string &key);
     bool joinThroughAny(std::vector<Endpoint> contacts, std::size_t wanted);
-    bool joinOnce();
-    std::vector<Endpoint> liveControls() const;
-    void keepContacts();
+    bool tryJoin();
+    std::vector<Endpoint> liveControlAddresses() const;
+    void maintainContacts();
     void collectBlobs();
-    Milliseconds collectionPause();
-    void reconcileOwnContacts();
-    void joinOtherDataCentre();
+    Milliseconds collectionDelay();
+    void reconcileLocalContacts();
+    void joinOtherDataCentres();
     void checkHead();
 };
 
@@ -136,10 +135,10 @@
     return joined > 0;
 }
 
-// Adds this node to the contacts while there is room, then joins through the
-// others. Registering comes first: of two nodes that start at once the later
-// writer sees the earlier one, so they can't miss each other.
-bool ContactKeeper::Private::joinOnce()
+// Adds this node to the contact list unless the list is full, then joins through the
+// other contacts. The node registers first: of two nodes that start at once, the
+// later writer sees the earlier one, so they cannot miss each other.
+bool ContactKeeper::Private::tryJoin()
 {
     const auto key = contactsKey(options.self.dataCentre);
     auto contacts = readContacts(key);
@@ -161,21 +160,21 @@
     if (joinThroughAny(known, ContactsJoined) || registered) {
         return true;
     }
-    // All contacts are dead, as after every VM was replaced during an outage
-    // of the store. While the list stays full of them no node finds another
-    // one; the conditional write lets one of several replacers win.
+    // All contacts are dead, as after every VM was replaced during an outage of the
+    // store. While they fill the list, no node finds another one; the conditional
+    // write lets one of several nodes replace the list.
     return options.store.write(key, toJson({options.self.control()}), contacts->version).has_value();
 }
 
 void ContactKeeper::Private::checkHead()
 {
-    if (Clock::now() >= nextCheck) {
-        nextCheck = Clock::now() + HeadCheckInterval;
+    if (Clock::now() >= nextHeadCheck) {
+        nextHeadCheck = Clock::now() + HeadCheckInterval;
         options.checkHead();
     }
 }
 
-std::vector<Endpoint> ContactKeeper::Private::liveControls() const
+std::vector<Endpoint> ContactKeeper::Private::liveControlAddresses() const
 {
     std::vector<Endpoint> live;
     for (const auto &member : options.state->members()) {
@@ -186,48 +185,48 @@
     return live;
 }
 
-void ContactKeeper::Private::keepContacts()
+void ContactKeeper::Private::maintainContacts()
 {
-    if (!options.state->keepsContacts || Clock::now() < nextContacts) {
+    if (!options.state->keepsContacts || Clock::now() < nextContactUpdate) {
         return;
     }
-    nextContacts = Clock::now() + ContactInterval;
-    reconcileOwnContacts();
-    joinOtherDataCentre();
+    nextContactUpdate = Clock::now() + ContactInterval;
+    reconcileLocalContacts();
+    joinOtherDataCentres();
 }
 
-Milliseconds ContactKeeper::Private::collectionPause()
+Milliseconds ContactKeeper::Private::collectionDelay()
 {
     return Milliseconds(std::uniform_int_distribution<std::int64_t>(CollectionInterval.count() / 2, CollectionInterval.count())(random));
 }
 
-// Falls to the keepers of contacts, whose role is the same for all nodes that
-// know the same members; the collector allows for several at once.
+// Done by the node that maintains the contact list. Nodes that know different members
+// may assign that role to different nodes; the collector tolerates several at once.
 void ContactKeeper::Private::collectBlobs()
 {
     if (!options.state->keepsContacts || Clock::now() < nextCollection) {
         return;
     }
-    nextCollection = Clock::now() + collectionPause();
+    nextCollection = Clock::now() + collectionDelay();
     const auto removed = collector.run();
     if (removed && *removed > 0) {
         options.log(LogLevel::Info, "contents-collected", {{"removed", *removed}});
     }
 }
 
-void ContactKeeper::Private::reconcileOwnContacts()
+void ContactKeeper::Private::reconcileLocalContacts()
 {
     const auto key = contactsKey(options.self.dataCentre);
     const auto contacts = readContacts(key);
     if (!contacts) {
         return;
     }
-    const auto live = liveControls();
+    const auto live = liveControlAddresses();
     const auto isLive = [&](const Endpoint &contact) { return std::find(live.begin(), live.end(), contact) != live.end(); };
     std::vector<Endpoint> kept;
     for (const auto &contact : contacts->endpoints) {
-        // A contact that this node doesn't know is a dead one, or a member of
-        // another partition, which must not be dropped but joined.
+        // A contact that this node does not know is either dead or a member of
+        // another partition, which must be joined rather than removed.
         if (isLive(contact) || options.joinThrough(contact)) {
             kept.push_back(contact);
         }
@@ -239,15 +238,15 @@
         }
     }
     if (kept != contacts->endpoints) {
-        // A lost race means that another holder of the role wrote; the next
-        // round looks again.
+        // A conflict means that another holder of the role wrote the list; the
+        // next round reads it again.
         (void)options.store.write(key, toJson(kept), contacts->version);
     }
 }
 
-// Data centres register apart, so this is how they meet, at first and after
-// they were cut off from each other.
-void ContactKeeper::Private::joinOtherDataCentre()
+// Each data centre has its own contact list, so this is how nodes of different data
+// centres find each other, initially and after a partition between them.
+void ContactKeeper::Private::joinOtherDataCentres()
 {
     auto keys = options.store.list("contacts/");
     if (!keys) {
@@ -255,7 +254,7 @@
     }
     std::erase(*keys, contactsKey(options.self.dataCentre));
     std::shuffle(keys->begin(), keys->end(), random);
-    const auto live = liveControls();
+    const auto live = liveControlAddresses();
     for (const auto &key : *keys) {
         auto contacts = readContacts(key);
         if (!contacts) {
@@ -269,15 +268,17 @@
 void ContactKeeper::run()
 {
     d->options.store.pauseUpTo(StartSpread);
-    while (!d->stopping() && !d->joinOnce()) {
+    while (!d->stopping() && !d->tryJoin()) {
         const auto time = d->options.store.backOff();
-        d->options.log(LogLevel::Warning, "join-failed", {{"reason", "no contact answered, or another node registered at once"}, {"backoff_ms", time.count()}});
+        d->options.log(LogLevel::Warning,
+            "join-failed",
+            {{"reason", "no contact answered, or another node changed the contact list meanwhile; retrying after the back-off"}, {"backoff_ms", time.count()}});
     }
     d->options.store.succeeded();
-    d->nextContacts = Clock::now() + FirstContactsDelay;
-    d->nextCollection = Clock::now() + d->collectionPause();
+    d->nextContactUpdate = Clock::now() + FirstContactsDelay;
+    d->nextCollection = Clock::now() + d->collectionDelay();
     while (!d->stopping()) {
-        d->keepContacts();
+        d->maintainContacts();
         d->checkHead();
         d->collectBlobs();
         d->options.store.pause(IdleInterval);
--- a/src/daemon/contactkeeper.h
+++ b/src/daemon/contactkeeper.h
@@ -10,9 +10,9 @@
 
 namespace Galenahill {
 
-// Joins the fleet through the contacts in the store, and keeps the list of
-// contacts of this data centre while the node holds that role. On a thread of
-// its own, so that a slow watch and dead contacts don't hold each other up.
+// Joins the fleet through the contacts in the store and, while the node holds that
+// role, maintains the contact list of its data centre. Runs on a thread of its own,
+// so that a slow watch and unresponsive contacts do not delay each other.
 class ContactKeeper
 {
 public:
@@ -25,17 +25,17 @@
         std::vector<Endpoint> seeds;
         Logger log;
         std::uint64_t seed = 1;
-        // Asks a contact for its members and passes them on; false if it
-        // didn't answer.
+        // Fetches a contact's member list and merges it into the membership;
+        // false if the contact did not answer.
         std::function<bool(const Endpoint &contact)> joinThrough;
-        // Looks at the store's head beside the watch; called at intervals.
+        // Reads the store's head beside the watch; called periodically.
         std::function<void()> checkHead;
     };
 
     explicit ContactKeeper(Options options);
     ~ContactKeeper();
 
-    // Works until NodeState::stopping is set.
+    // Runs until NodeState::stopping is set.
     void run();
 
 private:
--- a/src/daemon/controlactor.h
+++ b/src/daemon/controlactor.h
@@ -15,8 +15,8 @@
     std::unique_ptr<FleetControl> fleet;
 };
 
-// Behaviour of the actor that has the fleet's decisions taken one message at a
-// time; it takes the types of controlmessages.h.
+// Behaviour of the actor that makes the fleet's decisions one message at a time. It
+// accepts the message types of controlmessages.h.
 caf::behavior controlActor(caf::stateful_actor<ControlState> *self, FleetControlOptions options);
 
 }
--- a/src/daemon/controlmessages.h
+++ b/src/daemon/controlmessages.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-// What the control actor is told. The messages stay inside the process, so
-// none of them is ever serialized.
+// Messages to the control actor. They stay inside the process, so none of them is
+// ever serialized.
 namespace Galenahill {
 
 struct DatagramReceived
@@ -29,7 +29,7 @@
     std::vector<MemberRecord> members;
 };
 
-// A revision from the store, from another member, or accepted here.
+// A revision was read from the store, pulled from a member or accepted by this node.
 struct RevisionReceived
 {
     std::shared_ptr<const ConfigRevision> revision;
@@ -40,7 +40,7 @@
     Endpoint peer;
 };
 
-// The store's head was read for the first time; zero if it has none.
+// The store's head was read for the first time; the revision is zero if there is none.
 struct StoreAnswered
 {
     Revision revision;
@@ -55,7 +55,7 @@
 {
 };
 
-// The node begins its planned stop.
+// The node begins a planned stop.
 struct LeaveFleet
 {
 };
--- a/src/daemon/controlservice.cpp
+++ b/src/daemon/controlservice.cpp
@@ -21,8 +21,8 @@
 
     Options options;
     OperatorMethods methods;
-    // Operators' requests wait for the store, so they run apart from the
-    // thread that answers other nodes.
+    // Operators' requests block on the store, so they do not run on the thread that
+    // serves other nodes.
     asio::thread_pool workers{1};
 
     std::string status() const;
@@ -80,8 +80,8 @@
     const std::string target(request.target());
     const std::string configPrefix = "/config?base=";
     if (request.method() == http::verb::post && target == "/rpc") {
-        auto answer = co_await asio::co_spawn(d->workers, d->runRpc(std::move(request.body())), asio::use_awaitable);
-        co_return makeResponse(http::status::ok, "application/json", std::move(answer));
+        auto response = co_await asio::co_spawn(d->workers, d->runRpc(std::move(request.body())), asio::use_awaitable);
+        co_return makeResponse(http::status::ok, "application/json", std::move(response));
     }
     if (request.method() == http::verb::get && target.rfind(configPrefix, 0) == 0) {
         co_return d->options.exchange.serve(target.substr(configPrefix.size()));
@@ -98,7 +98,8 @@
     if (request.method() == http::verb::get && target == "/metrics") {
         co_return makeResponse(http::status::ok, "text/plain; version=0.0.4", metricsText(d->gauges(), d->options.metrics.report(Clock::now())));
     }
-    co_return makeErrorResponse(http::status::not_found, "not-found", "the control port has /rpc, /config, /members, /status, /burn and /metrics");
+    co_return makeErrorResponse(
+        http::status::not_found, "not-found", "unknown method or path; the control port serves /rpc, /config, /members, /status, /burn and /metrics");
 }
 
 void ControlService::stop()
--- a/src/daemon/controlservice.h
+++ b/src/daemon/controlservice.h
@@ -13,8 +13,8 @@
 
 namespace Galenahill {
 
-// Answers on the control port: other nodes' requests for members and
-// revisions, and operators' JSON-RPC.
+// Serves the control port: other nodes' requests for members and revisions, and
+// operators' JSON-RPC requests.
 class ControlService
 {
 public:
@@ -24,10 +24,10 @@
         std::shared_ptr<NodeState> state;
         ConfigRepository &repository;
         RevisionExchange &exchange;
-        // Counters for the status, as JSON text of one object.
+        // Counters for the status, as the text of a JSON object.
         std::function<std::string()> counters;
         const ServiceLevelMetrics &metrics;
-        // A revision was accepted through this node.
+        // An operator's change was accepted through this node as this revision.
         std::function<void(std::shared_ptr<const ConfigRevision>)> accepted;
     };
 
@@ -36,7 +36,7 @@
 
     asio::awaitable<HttpResponse> handle(HttpRequest request);
 
-    // Waits for running operator requests.
+    // Waits until running operator requests have ended.
     void stop();
 
 private:
--- a/src/daemon/daemonarguments.h
+++ b/src/daemon/daemonarguments.h
@@ -10,7 +10,7 @@
 
 namespace Galenahill {
 
-// What the command line of a daemon says.
+// Arguments from a daemon's command line.
 struct DaemonArguments
 {
     std::string settingsPath;
@@ -18,20 +18,20 @@
     bool checkOnly = false;
 };
 
-// The command line, or the exit code where it can't be used or asked for the
-// version, which has been said then.
+// The arguments; or an exit code, if the command line was invalid or asked for the
+// version. The message has been printed then.
 struct ParsedArguments
 {
     std::optional<int> exitCode;
     DaemonArguments arguments;
 };
 
-// Reads the command line. `program` is the name in messages, `settingsPath` the
-// settings file if the command line names none; it may be empty.
+// Parses the command line. `program` is the name used in messages, `settingsPath` the
+// settings file to use if the command line names none; it may be empty.
 ParsedArguments parseDaemonArguments(const std::string &program, int argc, const char **argv, const std::string &settingsPath = {});
 
-// Reads command line and settings, and runs the daemon with them unless they were
-// only to be checked. Gives the exit code.
+// Reads the settings and runs the daemon, unless the settings are only to be checked.
+// Returns the exit code.
 template <typename Settings>
 int runDaemon(const ParsedArguments &parsed, const std::function<int(const Settings &settings, const std::string &path)> &run)
 {
--- a/src/daemon/documentwatcher.cpp
+++ b/src/daemon/documentwatcher.cpp
@@ -9,28 +9,26 @@
 
 namespace {
 
-// Longest wait of one watch. The store counts each call, and takes waits up to
-// half a minute; a connection that fell silent is found by its keep-alive
-// probes long before.
-constexpr Milliseconds WatchTime{30000};
+// Longest wait of one watch. The store counts each call and allows waits of up to half
+// a minute; keep-alive probes detect a silent connection long before.
+constexpr Milliseconds WatchTimeLimit{30000};
 
-// Pause after a change before the next watch, a quarter of the two seconds that a
-// change may take to every node.
-constexpr Milliseconds GatherTime{500};
+// Pause between a change and the next watch: a quarter of the two seconds within which
+// a change must reach every node.
+constexpr Milliseconds BatchDelay{500};
 
-// Age up to which a node that begins to watch goes on from its last read. An
-// older one is read anew: the history in between may hold many changes, each in
-// full.
-constexpr Milliseconds FreshReadAge{2000};
+// Age of the last read up to which a node that becomes a watcher resumes from it. After
+// that it lists again, since the history in between may hold many changes, each in full.
+constexpr Milliseconds MaxResumeAge{2000};
 
-// How often a node that doesn't watch looks whether it should.
-constexpr Milliseconds RoleInterval{150};
+// How often a node that is not a watcher checks whether it has become one.
+constexpr Milliseconds RoleCheckInterval{150};
 
-// Pause after a failed call, doubled by each further one. An outage's end is
-// noticed within the longest pause, while a fleet of 1,100 stays far below the
-// store's rate of reads.
-constexpr Milliseconds ShortestPause{100};
-constexpr Milliseconds LongestPause{800};
+// Back-off after a failed call, doubled by each further failure. The end of an outage is
+// noticed within the longest back-off, and a fleet of 1,100 nodes stays far below the
+// store's read rate limit.
+constexpr Milliseconds MinBackOff{100};
+constexpr Milliseconds MaxBackOff{800};
 
 }
 
@@ -47,18 +45,18 @@
     Options options;
     std::mt19937_64 random;
     std::optional<Freshness> firstList;
-    // From where to watch on; zero while the kind has to be listed.
+    // Version from which the watch resumes; zero while the kind has to be listed.
     ObjectVersion version;
-    // Whether the last round was a watcher's, and when the store last answered.
-    bool watched = false;
-    TimePoint lastAnswer;
+    // Whether this node was a watcher in the last round, and when the store last answered.
+    bool wasWatcher = false;
+    TimePoint lastSuccess;
     std::uint32_t failures = 0;
 
     asio::awaitable<void> run();
     asio::awaitable<Result<DocumentSet>> next();
-    void failed(const Error &error);
-    void answered();
-    Milliseconds pauseAfterFailure();
+    void callFailed(const Error &error);
+    void callSucceeded();
+    Milliseconds backOffTime();
 };
 
 DocumentWatcher::DocumentWatcher(Options options)
@@ -76,10 +74,10 @@
 asio::awaitable<Result<DocumentSet>> DocumentWatcher::Private::next()
 {
     if (version == ObjectVersion()) {
-        const auto freshness = watched ? Freshness::Latest : firstList.value_or(Freshness::Latest);
+        const auto freshness = wasWatcher ? Freshness::Latest : firstList.value_or(Freshness::Latest);
         co_return co_await options.store.list(options.kind, freshness);
     }
-    co_return co_await options.store.watch(options.kind, version, WatchTime);
+    co_return co_await options.store.watch(options.kind, version, WatchTimeLimit);
 }
 
 asio::awaitable<void> DocumentWatcher::Private::run()
@@ -87,42 +85,42 @@
     const auto keep = shared_from_this();
     while (!options.stopping) {
         if (!firstList && !options.watches()) {
-            watched = false;
-            co_await sleepFor(options.context, RoleInterval);
+            wasWatcher = false;
+            co_await sleepFor(options.context, RoleCheckInterval);
             continue;
         }
-        if (!watched && Clock::now() - lastAnswer > FreshReadAge) {
+        if (!wasWatcher && Clock::now() - lastSuccess > MaxResumeAge) {
             version = ObjectVersion();
         }
-        watched = options.watches();
+        wasWatcher = options.watches();
         const bool all = version == ObjectVersion();
         auto documents = co_await next();
         if (!documents) {
-            failed(documents.error());
-            co_await sleepFor(options.context, pauseAfterFailure());
+            callFailed(documents.error());
+            co_await sleepFor(options.context, backOffTime());
             continue;
         }
-        answered();
-        // A list that may be stale is no place to watch from.
-        const bool stale = all && !watched && firstList == Freshness::MayBeStale;
+        callSucceeded();
+        // A watch must not resume from a list that may be stale.
+        const bool stale = all && !wasWatcher && firstList == Freshness::MayBeStale;
         version = stale ? ObjectVersion() : documents->version;
         firstList.reset();
         if (options.received(std::move(*documents), all)) {
-            co_await sleepFor(options.context, GatherTime);
+            co_await sleepFor(options.context, BatchDelay);
         }
     }
 }
 
-void DocumentWatcher::Private::answered()
+void DocumentWatcher::Private::callSucceeded()
 {
     if (failures > 0) {
         options.log(LogLevel::Info, "store-regained", {{"kind", options.kind}, {"failures", failures}});
     }
     failures = 0;
-    lastAnswer = Clock::now();
+    lastSuccess = Clock::now();
 }
 
-void DocumentWatcher::Private::failed(const Error &error)
+void DocumentWatcher::Private::callFailed(const Error &error)
 {
     if (error.kind == ErrorKind::NotFound) {
         options.log(LogLevel::Warning, "watch-history-lost", {{"kind", options.kind}, {"version", version.value()}});
@@ -132,18 +130,18 @@
             {{"kind", options.kind}, {"call", version == ObjectVersion() ? "list" : "watch"}, {"reason", error.message}});
     }
     ++failures;
-    // What a broken watch missed is in the list; a watch from an old version
-    // may be refused for good.
+    // The next list has what a broken watch missed, whereas the store may keep
+    // rejecting a watch from an old version.
     version = ObjectVersion();
     if (options.failed) {
         options.failed();
     }
 }
 
-Milliseconds DocumentWatcher::Private::pauseAfterFailure()
+Milliseconds DocumentWatcher::Private::backOffTime()
 {
-    const auto doubled = ShortestPause * (1 << std::min<std::uint32_t>(failures, 4));
-    const auto longest = std::min(LongestPause, Milliseconds(doubled));
+    const auto doubled = MinBackOff * (1 << std::min<std::uint32_t>(failures, 4));
+    const auto longest = std::min(MaxBackOff, Milliseconds(doubled));
     return Milliseconds(std::uniform_int_distribution<std::int64_t>(longest.count() / 2, longest.count())(random));
 }
 
--- a/src/daemon/documentwatcher.h
+++ b/src/daemon/documentwatcher.h
@@ -9,8 +9,8 @@
 
 namespace Galenahill {
 
-// Follows the documents of one kind: lists them, and watches for changes while this
-// node has that role. What a broken watch missed is in the next list.
+// Tracks the documents of one kind: lists them, and watches for changes while this
+// node is a watcher. Changes that a broken watch missed are in the next list.
 class DocumentWatcher
 {
 public:
@@ -21,15 +21,15 @@
         std::string kind;
         std::uint64_t seed = 1;
         Logger log;
-        // How the kind is listed once at the start, by any node; nothing: only a
-        // watcher lists it.
+        // Freshness of the list that any node reads once at its start. Unset: only
+        // watchers read a list.
         std::optional<Freshness> firstList;
-        // Whether this node watches.
+        // Whether this node is a watcher.
         std::function<bool()> watches;
-        // Documents came: all of the kind, or those that changed. Says whether to
-        // pause before the next watch, so that one call brings several changes.
+        // Called with all documents of the kind, or with those that changed. Returns
+        // whether to pause before the next watch, so that one call returns several changes.
         std::function<bool(DocumentSet documents, bool all)> received;
-        // A call failed; the next one lists. May be null.
+        // A call to the store failed; the next one reads a list. May be null.
         std::function<void()> failed;
         const bool &stopping;
     };
--- a/src/daemon/fleetcontrol.cpp
+++ b/src/daemon/fleetcontrol.cpp
@@ -29,15 +29,15 @@
     ReadinessGate gate;
     bool open = false;
     bool viewOutdated = true;
-    bool watchesAlone = false;
+    bool watchesAsFallback = false;
     bool storeFailed = false;
     VersionRules versionRules;
 
     Membership::Options membershipOptions();
-    void revisionHeard(const Endpoint &member, Revision revision);
+    void revisionAdvertised(const Endpoint &member, Revision revision);
     void revisionReceived(const std::shared_ptr<const ConfigRevision> &revision);
     void tick();
-    void watchAlone();
+    void updateFallbackWatch();
     bool readsStore() const;
     void publish();
 };
@@ -67,11 +67,11 @@
     membershipOptions.send = options.send;
     membershipOptions.changed = [this] { viewOutdated = true; };
     membershipOptions.revision = [this] { return options.state->revisions.revision(); };
-    membershipOptions.revisionHeard = [this](const Endpoint &member, Revision revision) { revisionHeard(member, revision); };
+    membershipOptions.revisionHeard = [this](const Endpoint &member, Revision revision) { revisionAdvertised(member, revision); };
     return membershipOptions;
 }
 
-void FleetControl::Private::revisionHeard(const Endpoint &member, Revision revision)
+void FleetControl::Private::revisionAdvertised(const Endpoint &member, Revision revision)
 {
     auto &highest = options.state->highestKnown;
     highest = std::max(highest.load(), revision.value());
@@ -89,8 +89,8 @@
         if (options.revisionTaken) {
             options.revisionTaken(revision);
         }
-        // The new view goes first: when a peer hears of the revision, this
-        // node already serves it.
+        // The view is published first, so that this node already serves the revision
+        // when a peer learns of it.
         publish();
         membership.announceRevision(Clock::now());
         break;
@@ -105,10 +105,9 @@
     }
 }
 
-// Whether a newer revision is on its way from the store itself: to a watcher, and
-// to a node that has just started. Each of a fleet that starts as a whole would
-// else fetch the configuration from a member as well, often in another data
-// centre.
+// Whether this node is about to read a newer revision from the store: as a watcher, or
+// because it has just started. Otherwise every node of a fleet that starts as a whole
+// would also pull the configuration from a member, often in another data centre.
 bool FleetControl::Private::readsStore() const
 {
     const bool firstRead = options.state->revisions.revision() == Revision() && !storeFailed;
@@ -120,7 +119,7 @@
     viewOutdated = false;
     const auto live = membership.live();
     options.state->setMembers(live);
-    options.state->watchesStore = watchesAlone || WatcherChoice{.perDataCentre = options.watchers}.chooses(membership.self(), live);
+    options.state->watchesStore = watchesAsFallback || WatcherChoice{.perDataCentre = options.watchers}.chooses(membership.self(), live);
     options.state->keepsContacts = holdsRole("contacts", 1, membership.self(), live);
     open = gate.open(options.state->revisions.revision(), live.size() - 1);
     if (open) {
@@ -128,13 +127,13 @@
     }
 }
 
-// All that watch may be gone at once, as when a rack loses power, and those that
-// are left would learn of no change until they had given the others up. A node
-// that nobody answers watches for itself until it hears somebody.
-void FleetControl::Private::watchAlone()
+// All watchers may fail at once, as when a rack loses power, and the remaining members
+// would learn of no change until they had declared the watchers gone. A node whose
+// probes stay unanswered therefore watches the store itself until it hears from a member.
+void FleetControl::Private::updateFallbackWatch()
 {
-    if (membership.unanswered() != watchesAlone) {
-        watchesAlone = membership.unanswered();
+    if (membership.unanswered() != watchesAsFallback) {
+        watchesAsFallback = membership.unanswered();
         viewOutdated = true;
     }
 }
@@ -143,8 +142,9 @@
 {
     membership.tick(Clock::now());
     puller.tick(Clock::now());
-    watchAlone();
-    // A closed gate is looked at each time: what opens it comes by many ways.
+    updateFallbackWatch();
+    // A node that is not ready checks again at each tick: what makes it ready may change
+    // without the view becoming outdated.
     if (viewOutdated || !open) {
         publish();
     }
--- a/src/daemon/fleetcontrol.h
+++ b/src/daemon/fleetcontrol.h
@@ -14,7 +14,7 @@
 
 namespace Galenahill {
 
-// What the decisions about the fleet need from their surroundings.
+// Settings and dependencies of FleetControl.
 struct FleetControlOptions
 {
     MemberRecord self;
@@ -22,32 +22,32 @@
     std::shared_ptr<NodeState> state;
     Logger log;
     GossipPreference prefer = GossipPreference::Time;
-    // Zero leaves it to `prefer`.
+    // Members that each round of gossip goes to; zero: as `prefer` implies.
     std::uint32_t fanOut = 0;
-    // Members of one data centre that watch the store's head.
+    // Members of each data centre that watch the store.
     std::uint32_t watchers = 2;
     std::function<void(const Endpoint &, const GossipMessage &)> send;
     std::function<void(std::shared_ptr<const RoutingView>)> publishView;
-    // A revision came into force; the routing view with it is published next.
+    // A revision came into force; the routing view that uses it is published next.
     // May be null.
     std::function<void(std::shared_ptr<const ConfigRevision>)> revisionTaken;
-    // Fetches the peer's revision; it is answered by `revisionReceived`, if it
-    // came, and `pullEnded`.
+    // Starts to pull the peer's revision. `revisionReceived` must be called if the pull
+    // succeeds, and `pullEnded` in any case.
     std::function<void(const Endpoint &peer)> pull;
-    // Time that a node which watches the store gives its own watch before it
-    // fetches a newer revision from a member.
+    // Time that a watcher gives its own watch of the store before it pulls a newer
+    // revision from a member.
     Milliseconds watcherPatience{0};
-    // Time between two probes of members that count as gone.
+    // Time between two probes of members that were declared gone.
     Milliseconds reviveInterval{5000};
 };
 
-// Membership and the revision in force: all decisions about the fleet are taken
-// here. Used by one thread, or one actor, at a time.
+// Makes all decisions about membership and the revision in force. Used by one thread,
+// or one actor, at a time.
 class FleetControl
 {
 public:
-    // Time between two calls of tick. Half as many wake-ups as the membership
-    // would take; news of its own leave a node at once, whatever the interval.
+    // Time between two calls of tick. Membership allows for twice as many; fewer wake-ups
+    // suffice, since a node sends updates about itself at once.
     static constexpr Milliseconds TickInterval{100};
 
     explicit FleetControl(FleetControlOptions options);
@@ -55,35 +55,35 @@
 
     void tick();
     void datagramReceived(const Endpoint &from, const std::string &bytes);
-    // Members that another member listed, and those that the store lists.
+    // Merges the member list of another member, and the one in the store.
     void membersReceived(const std::vector<MemberRecord> &members);
     void storedMembersReceived(const std::vector<MemberRecord> &members);
     void targetStateChanged(MemberState state, const TargetVersion &version = {});
 
-    // What rollouts say of the targets; published with the next view.
+    // Sets the rollouts' rules for target versions, and publishes a view with them.
     void setVersionRules(VersionRules rules);
 
-    // A revision came from the store or a member. It is taken if it is above
-    // the one in force.
+    // A revision was read from the store or pulled from a member. It comes into force if
+    // it is newer than the one in force.
     void revisionReceived(const std::shared_ptr<const ConfigRevision> &revision);
     void pullEnded(const Endpoint &peer);
 
-    // The store was read (zero: nothing was ever accepted), or didn't answer.
+    // The store was read (revision zero: none was ever accepted), or could not be read.
     void storeAnswered(Revision revision);
     void storeFailed();
 
-    // Tells the others that this node stops.
+    // Announces to the other members that this node leaves.
     void leave();
 
-    // Whether the node may take calls: it holds the highest revision that it
-    // can learn of.
+    // Whether the node may accept calls: it has the highest revision that it can learn
+    // of in force.
     bool open() const;
 
-    // Other live members: how many, and their control addresses.
+    // Number and control addresses of the other live members.
     std::size_t others() const;
     std::vector<Endpoint> otherAddresses() const;
 
-    // Whether a member of that name is known, given up or not.
+    // Whether a member of that name is known, even one that was declared gone.
     bool knows(const NodeName &member) const;
 
 private:
--- a/src/daemon/fleetquery.h
+++ b/src/daemon/fleetquery.h
@@ -8,17 +8,17 @@
 
 namespace Galenahill {
 
-// One member's answer to a query.
+// One member's response to a query.
 struct MemberAnswer
 {
     MemberRecord member;
-    // The body of the answer, or nothing if the member is gone, didn't answer
-    // in time or answered with an error.
+    // Body of the response; unset if the member is gone, did not respond in time or
+    // responded with an error.
     std::optional<std::string> body;
 };
 
-// Asks all members for a resource of their control port, at most
-// `MaxParallel` at a time, and waits for the answers. Blocks.
+// Requests a resource from the control ports of all members, at most `MaxParallel` at a
+// time, and waits for the responses. Blocks.
 std::vector<MemberAnswer> queryFleet(const std::vector<MemberRecord> &members, const std::string &resource, Milliseconds timeLimit);
 
 }
--- a/src/daemon/headwatcher.cpp
+++ b/src/daemon/headwatcher.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-constexpr Milliseconds WatchTime{20000};
+constexpr Milliseconds WatchTimeLimit{20000};
 constexpr Milliseconds IdleInterval{500};
 
-// Time over which a fleet that starts at once spreads its first reads.
+// Time over which the nodes of a fleet that starts at once spread their first reads.
 constexpr Milliseconds StartSpread{2000};
 
-// Time over which the watchers spread the mending of an older store; short,
-// since what it lacks is in the nodes' memory alone.
-constexpr Milliseconds MendSpread{500};
+// Time over which the watchers spread the repair of a store that is behind; short, since
+// only the nodes' memory holds what the store lacks.
+constexpr Milliseconds RepairSpread{500};
 
-// Time that a starting node waits for members to bring what the store has:
-// the texts are read from the store by a few nodes and not by each.
-constexpr Milliseconds PeersFirst{1000};
+// Time that a starting node waits for members to deliver the stored revision, so that
+// only a few nodes read the blobs from the store.
+constexpr Milliseconds PeerDeliveryTime{1000};
 
 }
 
@@ -31,24 +31,24 @@
     }
 
     Options options;
-    // Held while the head is being taken, so that `check` and `run` don't
-    // read the same texts at once.
+    // Held while a head is processed, so that `check` and `run` do not read the same blobs
+    // at once.
     std::mutex mutex;
     ObjectVersion headVersion;
-    bool answered = false;
+    bool initialHeadRead = false;
 
-    bool behind(Revision revision) const
+    bool isBehind(Revision revision) const
     {
         return options.state->revisions.revision() < revision;
     }
 
-    void failed(const Error &error);
-    void readFirst();
+    void callFailed(const Error &error);
+    void readInitialHead();
     void watch();
     ObjectVersion knownVersion();
-    void take(const ConfigRepository::Head &head);
-    void mendStore(const ConfigRepository::Head &head);
-    void fetch(const ConfigRepository::Head &head);
+    void processHead(const ConfigRepository::Head &head);
+    void repairStore(const ConfigRepository::Head &head);
+    void fetchRevision(const ConfigRepository::Head &head);
 };
 
 HeadWatcher::HeadWatcher(Options options)
@@ -58,7 +58,7 @@
 
 HeadWatcher::~HeadWatcher() = default;
 
-void HeadWatcher::Private::failed(const Error &error)
+void HeadWatcher::Private::callFailed(const Error &error)
 {
     options.log(LogLevel::Warning, "store-unavailable", {{"reason", error.message}});
     options.store.backOff();
@@ -70,7 +70,7 @@
     return headVersion;
 }
 
-void HeadWatcher::Private::take(const ConfigRepository::Head &head)
+void HeadWatcher::Private::processHead(const ConfigRepository::Head &head)
 {
     const std::lock_guard lock(mutex);
     headVersion = head.version;
@@ -80,32 +80,32 @@
         return;
     }
     if (current && head.manifest.revision < current->revision()) {
-        mendStore(head);
+        repairStore(head);
         return;
     }
     if (!current || !(current->bundle.manifest == head.manifest)) {
-        fetch(head);
+        fetchRevision(head);
     }
 }
 
-void HeadWatcher::Private::mendStore(const ConfigRepository::Head &head)
+void HeadWatcher::Private::repairStore(const ConfigRepository::Head &head)
 {
     options.log(
         LogLevel::Error, "store-behind", {{"store_revision", head.manifest.revision.value()}, {"in_force", options.state->revisions.revision().value()}});
-    // All watchers see the older head at once; one of them is enough.
-    options.store.pauseUpTo(MendSpread);
+    // All watchers see the older head at once; one of them is enough to repair the store.
+    options.store.pauseUpTo(RepairSpread);
     const auto written = options.repository.writeBack();
     if (written && *written) {
         options.log(LogLevel::Warning, "store-mended", {{"revision", options.state->revisions.revision().value()}});
     }
 }
 
-void HeadWatcher::Private::fetch(const ConfigRepository::Head &head)
+void HeadWatcher::Private::fetchRevision(const ConfigRepository::Head &head)
 {
     const auto current = options.state->revisions.current();
     auto bundle = options.repository.readBundle(head.manifest, current.get());
     if (!bundle) {
-        // Forgotten, so that the next look tries again.
+        // Reset, so that the next watch or check tries again.
         headVersion = ObjectVersion();
         options.log(LogLevel::Warning, "store-unavailable", {{"reason", bundle.error().message}});
         options.store.backOff();
@@ -119,43 +119,43 @@
     options.revisionFound(std::move(*revision));
 }
 
-void HeadWatcher::Private::readFirst()
+void HeadWatcher::Private::readInitialHead()
 {
     const auto head = options.repository.readHead();
     if (!head) {
         options.storeFailed();
-        failed(head.error());
+        callFailed(head.error());
         return;
     }
-    answered = true;
+    initialHeadRead = true;
     options.store.succeeded();
     options.storeAnswered(head->manifest.revision);
-    const auto until = Clock::now() + PeersFirst;
-    while (behind(head->manifest.revision) && Clock::now() < until && !options.state->stopping) {
+    const auto until = Clock::now() + PeerDeliveryTime;
+    while (isBehind(head->manifest.revision) && Clock::now() < until && !options.state->stopping) {
         options.store.pause(Milliseconds(100));
     }
-    options.store.pauseUpTo(behind(head->manifest.revision) ? PeersFirst : Milliseconds(0));
-    if (behind(head->manifest.revision)) {
-        take(*head);
+    options.store.pauseUpTo(isBehind(head->manifest.revision) ? PeerDeliveryTime : Milliseconds(0));
+    if (isBehind(head->manifest.revision)) {
+        processHead(*head);
     }
 }
 
 void HeadWatcher::Private::watch()
 {
-    const auto object = options.store.watch("config/head", knownVersion(), WatchTime);
+    const auto object = options.store.watch("config/head", knownVersion(), WatchTimeLimit);
     if (!object) {
         if (object.error().kind != ErrorKind::NotFound) {
-            failed(object.error());
+            callFailed(object.error());
         }
         return;
     }
     options.store.succeeded();
     auto manifest = Manifest::fromJson(object->value);
     if (!manifest) {
-        failed(manifest.error());
+        callFailed(manifest.error());
         return;
     }
-    take({std::move(*manifest), object->version});
+    processHead({std::move(*manifest), object->version});
 }
 
 void HeadWatcher::check()
@@ -167,12 +167,12 @@
     if (!head) {
         return;
     }
-    if (d->behind(head->manifest.revision)) {
+    if (d->isBehind(head->manifest.revision)) {
         d->options.log(LogLevel::Warning, "watch-stalled", {{"store_revision", head->manifest.revision.value()}});
     }
-    // Also for a store that lost the head altogether, which no watch tells.
+    // Also covers a store that lost the head altogether, which no watch reports.
     if (head->manifest.revision != d->options.state->revisions.revision()) {
-        d->take(*head);
+        d->processHead(*head);
     }
 }
 
@@ -180,8 +180,8 @@
 {
     d->options.store.pauseUpTo(StartSpread);
     while (!d->options.state->stopping) {
-        if (!d->answered) {
-            d->readFirst();
+        if (!d->initialHeadRead) {
+            d->readInitialHead();
         } else if (d->options.state->watchesStore) {
             d->watch();
         } else {
--- a/src/daemon/headwatcher.h
+++ b/src/daemon/headwatcher.h
@@ -10,8 +10,8 @@
 
 namespace Galenahill {
 
-// Learns from the store which revision is accepted: once at the start, and by
-// watching while this node holds that role.
+// Reads the accepted revision from the store: once at the start, and by a watch while
+// this node is a watcher.
 class HeadWatcher
 {
 public:
@@ -22,22 +22,21 @@
         std::shared_ptr<NodeState> state;
         Logger log;
         std::function<void(std::shared_ptr<const ConfigRevision>)> revisionFound;
-        // The store's head was read for the first time; zero if it has none.
+        // The store's head was read for the first time; the revision is zero if there is none.
         std::function<void(Revision)> storeAnswered;
-        // It could not be read.
+        // The store's head could not be read.
         std::function<void()> storeFailed;
     };
 
     explicit HeadWatcher(Options options);
     ~HeadWatcher();
 
-    // Works until NodeState::stopping is set.
+    // Runs until NodeState::stopping is set.
     void run();
 
-    // Reads the head once if this node watches it. For another thread than
-    // the one of `run`, at intervals: the platform may let a watch stall
-    // without an answer, and the node would serve an old revision until the
-    // watch's time limit.
+    // Reads the head once if this node is a watcher. Called periodically from another
+    // thread than `run`: the store may leave a watch without a response, and the node
+    // would serve an old revision until the watch's time limit.
     void check();
 
 private:
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -14,8 +14,8 @@
 
 using namespace Galenahill;
 
-// The benchmarks alone set the variable. It isn't a key of the settings, so
-// that no copied file can switch a decision off.
+// Only the benchmarks set this variable. It is not a settings key, so that no copied
+// settings file can disable a decision.
 CallPolicy callPolicy()
 {
     const char *names = std::getenv("GALENAHILL_BENCH_WITHOUT");
@@ -28,7 +28,7 @@
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
-    // Blocked before any thread starts, so that only the wait below sees them.
+    // Blocked before any thread starts, so that only sigwait below receives them.
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     signal(SIGPIPE, SIG_IGN); // NOLINT(bugprone-signal-handler,cert-err33-c)
     const auto openStore
--- a/src/daemon/memberdirectory.cpp
+++ b/src/daemon/memberdirectory.cpp
@@ -14,21 +14,21 @@
 
 constexpr const char *Kind = "contacts";
 
-// Contacts asked for their members: one may be gone or as new as this node.
-constexpr std::size_t Asked = 3;
+// Contacts queried for their members: some may be gone or as new as this node.
+constexpr std::size_t ContactsQueried = 3;
 
-// Of them, those in other data centres, where some in the own one are listed.
-constexpr std::size_t AskedFar = 1;
+// Of them, those in other data centres if the local one has listed contacts.
+constexpr std::size_t RemoteContactsQueried = 1;
 
-constexpr Milliseconds AskTimeout{700};
+constexpr Milliseconds QueryTimeout{700};
 
-// Until the next try while the store doesn't answer, and while no other member
-// is known though it does.
-constexpr Milliseconds RetryTime{500};
-constexpr Milliseconds AloneTime{2500};
+// Time until the next attempt while the store is unavailable, and while it is available
+// but no other member is known.
+constexpr Milliseconds RetryInterval{500};
+constexpr Milliseconds LoneMemberInterval{2500};
 
-// Failed tries after which the node doesn't wait for the store any more.
-constexpr int TriesToGiveUp = 3;
+// Failed attempts after which the node no longer waits for the store.
+constexpr int AttemptsWithoutStore = 3;
 
 }
 
@@ -61,18 +61,18 @@
         record.linkMbps = json.value("link-mbps", std::uint32_t(0));
         record.incarnation = json.at("incarnation").get<std::uint64_t>();
     } catch (const nlohmann::json::exception &error) {
-        return failure(ErrorKind::Corrupt, std::string("contact: ") + error.what() + "; the node that wrote it runs another version, or another writer did");
+        return failure(ErrorKind::Corrupt, std::string("contact: ") + error.what() + "; it was written by a node of another version or by another program");
     }
     if (!isPlausible(record)) {
-        return failure(ErrorKind::Corrupt, "contact: has no name or address; remove it from the store");
+        return failure(ErrorKind::Corrupt, "contact: no name or address; remove the document from the store");
     }
     return record;
 }
 
 namespace {
 
-// Whether others reach the member in the same way, whenever it was started.
-bool isSamePlace(const MemberRecord &left, const MemberRecord &right)
+// Whether both records name the same member at the same addresses, whenever it started.
+bool isSameContact(const MemberRecord &left, const MemberRecord &right)
 {
     auto contact = left;
     contact.incarnation = right.incarnation;
@@ -89,21 +89,20 @@
     explicit Private(Options given)
         : options(std::move(given))
         , random(options.seed)
-        , mayBeListed(!options.firstStart)
+        , mayBeRegistered(!options.firstStart)
     {
     }
 
     Options options;
     std::mt19937_64 random;
     bool registered = false;
-    // Whether the list was read, and after this node was written into it.
-    bool consulted = false;
-    bool listed = false;
-    // Whether this node's contact may be in the list though this process hasn't written
-    // it.
-    bool mayBeListed = false;
-    // Of the listed contacts, those in the own data centre.
-    std::vector<Endpoint> near;
+    // Whether the list was read, and whether it was read after this node registered.
+    bool listRead = false;
+    bool listReadAfterRegistration = false;
+    // Whether an earlier process may have left this node's contact in the store.
+    bool mayBeRegistered = false;
+    // The listed contacts in the local data centre.
+    std::vector<Endpoint> localContacts;
     int failures = 0;
 
     asio::awaitable<void> run();
@@ -111,9 +110,9 @@
     asio::awaitable<void> sweep();
     asio::awaitable<void> registerSelf();
     asio::awaitable<std::vector<Endpoint>> contacts();
-    std::vector<Endpoint> choose(std::vector<Endpoint> contacts);
-    asio::awaitable<void> ask(Endpoint contact);
-    asio::awaitable<void> askSome(std::vector<Endpoint> contacts);
+    std::vector<Endpoint> chooseContacts(std::vector<Endpoint> contacts);
+    asio::awaitable<void> query(Endpoint contact);
+    asio::awaitable<void> querySome(std::vector<Endpoint> contacts);
     void storeFailed(const char *call, const Error &error);
 };
 
@@ -131,7 +130,7 @@
 
 bool MemberDirectory::consulted() const
 {
-    return d->consulted || d->failures >= TriesToGiveUp;
+    return d->listRead || d->failures >= AttemptsWithoutStore;
 }
 
 asio::awaitable<void> MemberDirectory::withdraw()
@@ -162,9 +161,9 @@
     }
 }
 
-// A VM that is gone for good leaves its contact behind. In a fleet whose VMs are
-// replaced daily the list would grow without end, and with it what each starting
-// node reads and whom it asks.
+// A VM that is lost for good leaves its contact in the store. In a fleet whose VMs are
+// replaced daily the list would grow without bound: each starting node would read more
+// and query more contacts that are gone.
 asio::awaitable<void> MemberDirectory::Private::sweep()
 {
     const auto documents = co_await options.store.list(Kind);
@@ -178,35 +177,35 @@
         if (!own || record->name == options.self.name || options.known(record->name)) {
             continue;
         }
-        // One that has just been written again has another version and stays.
+        // A contact that has just been rewritten has another version and stays.
         const auto removed = co_await options.store.remove(Kind, document.name, document.version);
         options.log(LogLevel::Info, "contact-removed", {{"name", document.name}, {"done", removed.has_value()}});
     }
 }
 
-// Of two nodes that start together, the one that writes later finds the other in
-// the list, since each writes before it reads. One such read is enough. A restarted
-// node reads first: its contact is mostly there, and a fleet that returns as a whole
-// would write one for each.
+// Of two nodes that start together, the one that writes later finds the other in the
+// list, since each writes before it reads. One such read is enough. A restarted node
+// reads first: its contact is usually still there, and a fleet that restarts as a whole
+// would otherwise write one contact per node.
 asio::awaitable<void> MemberDirectory::Private::join()
 {
     while (!options.stopping) {
-        if (!registered && !mayBeListed) {
+        if (!registered && !mayBeRegistered) {
             co_await registerSelf();
         }
         const auto found = co_await contacts();
-        if (std::exchange(mayBeListed, false) && !registered) {
+        if (std::exchange(mayBeRegistered, false) && !registered) {
             co_await registerSelf();
-            // New beside a fleet that the list names; with none there, the next list
-            // is read after the write.
-            listed = registered && !options.others().empty();
+            // If the list names running members, a new node needs no second list;
+            // otherwise the next list is read after the write.
+            listReadAfterRegistration = registered && !options.others().empty();
         }
-        co_await askSome(found);
-        const bool complete = registered && listed;
+        co_await querySome(found);
+        const bool complete = registered && listReadAfterRegistration;
         if (complete && !options.others().empty()) {
             break;
         }
-        co_await sleepFor(options.context, complete ? AloneTime : RetryTime);
+        co_await sleepFor(options.context, complete ? LoneMemberInterval : RetryInterval);
     }
 }
 
@@ -221,7 +220,7 @@
 
 asio::awaitable<std::vector<Endpoint>> MemberDirectory::Private::contacts()
 {
-    // Those that found this node while the store is out know the rest.
+    // Members that found this node while the store was unavailable know the rest.
     std::vector<Endpoint> found = options.others();
     found.insert(found.end(), options.seeds.begin(), options.seeds.end());
     const auto documents = co_await options.store.list(Kind);
@@ -229,53 +228,56 @@
         storeFailed("list", documents.error());
         co_return found;
     }
-    consulted = true;
+    listRead = true;
     std::vector<MemberRecord> members;
-    near.clear();
+    localContacts.clear();
     for (const auto &document : documents->documents) {
         auto record = contactFromDocument(document.content);
         if (!record) {
             options.log(LogLevel::Warning, "contact-refused", {{"name", document.name}, {"reason", record.error().message}});
         } else if (record->name == options.self.name) {
-            registered = registered || isSamePlace(*record, options.self);
+            registered = registered || isSameContact(*record, options.self);
         } else {
-            (record->dataCentre == options.self.dataCentre ? near : found).push_back(record->control());
+            (record->dataCentre == options.self.dataCentre ? localContacts : found).push_back(record->control());
             members.push_back(std::move(*record));
         }
     }
-    listed = registered;
+    listReadAfterRegistration = registered;
     options.listed(members);
-    co_return choose(std::move(found));
+    co_return chooseContacts(std::move(found));
 }
 
-// The list of members is long in a large fleet, and any member gives the same.
-std::vector<Endpoint> MemberDirectory::Private::choose(std::vector<Endpoint> contacts)
+// Only a few contacts are queried: the member list of a large fleet is long, and every
+// member returns the same one.
+std::vector<Endpoint> MemberDirectory::Private::chooseContacts(std::vector<Endpoint> contacts)
 {
-    std::shuffle(near.begin(), near.end(), random);
+    std::shuffle(localContacts.begin(), localContacts.end(), random);
     std::shuffle(contacts.begin(), contacts.end(), random);
-    contacts.resize(std::min(contacts.size(), near.size() < Asked ? Asked : AskedFar));
-    contacts.insert(contacts.begin(), near.begin(), near.begin() + static_cast<std::ptrdiff_t>(std::min(near.size(), Asked - AskedFar)));
+    contacts.resize(std::min(contacts.size(), localContacts.size() < ContactsQueried ? ContactsQueried : RemoteContactsQueried));
+    contacts.insert(contacts.begin(),
+        localContacts.begin(),
+        localContacts.begin() + static_cast<std::ptrdiff_t>(std::min(localContacts.size(), ContactsQueried - RemoteContactsQueried)));
     return contacts;
 }
 
-asio::awaitable<void> MemberDirectory::Private::askSome(std::vector<Endpoint> contacts)
+asio::awaitable<void> MemberDirectory::Private::querySome(std::vector<Endpoint> contacts)
 {
     std::shuffle(contacts.begin(), contacts.end(), random);
-    contacts.resize(std::min(contacts.size(), Asked));
+    contacts.resize(std::min(contacts.size(), ContactsQueried));
     for (const auto &contact : contacts) {
-        co_await ask(contact);
+        co_await query(contact);
     }
 }
 
-asio::awaitable<void> MemberDirectory::Private::ask(Endpoint contact)
+asio::awaitable<void> MemberDirectory::Private::query(Endpoint contact)
 {
     HttpRequest request(http::verb::get, "/members", 11);
     request.set(http::field::host, toString(contact));
-    const auto answer = co_await options.client.exchange(contact, std::move(request), Clock::now() + AskTimeout);
-    if (!answer || answer->result() != http::status::ok) {
+    const auto response = co_await options.client.exchange(contact, std::move(request), Clock::now() + QueryTimeout);
+    if (!response || response->result() != http::status::ok) {
         co_return;
     }
-    const auto members = decodeMembers(answer->body());
+    const auto members = decodeMembers(response->body());
     if (!members) {
         options.log(LogLevel::Warning, "members-refused", {{"from", toString(contact)}, {"reason", members.error().message}});
         co_return;
--- a/src/daemon/memberdirectory.h
+++ b/src/daemon/memberdirectory.h
@@ -11,10 +11,11 @@
 
 namespace Galenahill {
 
-// How a node finds the others: each writes its addresses into the store once,
-// a starting one reads them all and asks a few of those for the members that
-// they know. From then on gossip keeps the members current. With the store
-// out, the seeds of the settings serve, and members that lost this one ask it.
+// Lets nodes find each other. Each node writes its addresses into the store once, as a
+// contact; a starting node lists the contacts and queries a few of them for the members
+// that they know. From then on gossip keeps the membership current. While the store is
+// unavailable, a node uses the seeds of its settings, and members that had declared it
+// gone reconnect to it.
 class MemberDirectory
 {
 public:
@@ -25,22 +26,22 @@
         HttpClient &client;
         MemberRecord self;
         // Whether the whole fleet starts for the first time. Otherwise an earlier
-        // process of this node may have written its contact.
+        // process of this node may have left its contact in the store.
         bool firstStart = true;
         std::vector<Endpoint> seeds;
         std::uint64_t seed = 1;
         Logger log;
-        // Members that the store lists, and those that another member does.
+        // Called with the members that the store lists, and with those that a contact lists.
         std::function<void(const std::vector<MemberRecord> &)> listed;
         std::function<void(const std::vector<MemberRecord> &)> found;
-        // Addresses of the other live members known.
+        // Control addresses of the other live members.
         std::function<std::vector<Endpoint>()> others;
-        // Whether a member of that name is known, given up or not, and whether this
-        // node is the one of its data centre that removes what nobody knows.
+        // Whether a member of that name is known, even one that was declared gone, and
+        // whether this node is the one of its data centre that removes stale contacts.
         std::function<bool(const NodeName &)> known;
         std::function<bool()> sweeps;
-        // Time between two sweeps. Members that were given up are remembered for two
-        // hours, and one list an hour and data centre is little beside them.
+        // Time between two sweeps of stale contacts. Gone members are remembered for two
+        // hours, and one list an hour in each data centre costs little.
         Milliseconds sweepInterval{3600000};
         const bool &stopping;
     };
@@ -50,10 +51,10 @@
 
     void start();
 
-    // Whether the store was asked for members, or could not be for some time.
+    // Whether the store's contacts were listed, or the store has been unavailable for some time.
     bool consulted() const;
 
-    // Takes this node's addresses out of the store.
+    // Removes this node's contact from the store.
     asio::awaitable<void> withdraw();
 
 private:
@@ -61,7 +62,7 @@
     std::shared_ptr<Private> d;
 };
 
-// A member's addresses as its document in the store holds them.
+// Encodes a member's addresses as its contact document in the store, and decodes them.
 std::string contactDocument(const MemberRecord &record);
 Result<MemberRecord> contactFromDocument(const std::string &content);
 
--- a/src/daemon/node.cpp
+++ b/src/daemon/node.cpp
@@ -34,21 +34,21 @@
 
 constexpr Milliseconds JoinTimeout{700};
 
-// Time between announcing the stop and refusing calls, so that most ingress
-// nodes have stopped sending before the first refusal.
+// Time between announcing the stop and rejecting calls, so that most ingress nodes have
+// stopped sending calls before the first one is rejected.
 constexpr Milliseconds AnnounceTime{300};
 
-// Time for idle callers' connections to send a last request, which is
-// answered with "close", before they are closed.
+// Time for callers to send a last request on an idle connection, which is answered with
+// "Connection: close", before the node closes the connection.
 constexpr Milliseconds LingerTime{500};
 
 constexpr Milliseconds DrainCheckInterval{10};
 
-// Bodies of calls and their answers pass through in parts, so that this
-// bounds time rather than memory.
+// Bodies of calls and responses are streamed, so this limit bounds time rather than
+// memory.
 constexpr std::uint64_t MaxCallBodyBytes = std::uint64_t(1) << 30;
 
-// A whole revision in one answer.
+// A response contains a whole revision.
 constexpr std::uint64_t MaxControlBodyBytes = std::uint64_t(64) << 20;
 
 std::uint64_t wallClockIncarnation()
@@ -62,7 +62,7 @@
     return static_cast<std::int64_t>(std::chrono::system_clock::to_time_t(std::chrono::system_clock::now()));
 }
 
-// Bytes of a message on its connection.
+// Size of an HTTP message on the wire.
 template <typename Message>
 std::uint64_t wireBytes(const Message &message)
 {
@@ -71,13 +71,13 @@
     return static_cast<std::uint64_t>(header.tellp()) + message.body().size();
 }
 
-class QuietSystemConfig : public caf::actor_system_config
+class ActorSystemConfig : public caf::actor_system_config
 {
 public:
-    QuietSystemConfig()
+    ActorSystemConfig()
     {
-        // The default scheduler wakes hundreds of times a second when idle;
-        // the control budget is 2% of a core.
+        // The default scheduler wakes up hundreds of times a second when idle; the
+        // budget of the control plane is 2% of a core.
         set("scheduler.policy", caf::atom("sharing"));
         set("scheduler.max-threads", 2);
         set("logger.verbosity", caf::atom("quiet"));
@@ -100,7 +100,7 @@
               .highestKnown = [this] { return Revision(state->highestKnown); },
               .now = wallClockSeconds})
         , budgetedStore({.store = store, .budget = {.seed = self.incarnation ^ std::hash<std::string>{}(self.address)}, .stopping = state->stopping})
-        , standingRepository({.store = budgetedStore,
+        , backgroundRepository({.store = budgetedStore,
               .inForce = [this] { return state->revisions.current(); },
               .highestKnown = [this] { return Revision(state->highestKnown); },
               .now = wallClockSeconds})
@@ -168,8 +168,8 @@
     DocumentObjectStore store;
     ConfigRepository repository;
     BudgetedStore budgetedStore;
-    // For the node's standing work; operators' requests use the one above.
-    ConfigRepository standingRepository;
+    // For the node's background work; operators' requests use `repository`.
+    ConfigRepository backgroundRepository;
     HeadWatcher headWatcher;
     std::unique_ptr<LinkFilter> links;
     HttpClient controlClient;
@@ -183,10 +183,10 @@
     HttpServer ingressServer;
     HttpServer sidecarServer;
 
-    QuietSystemConfig systemConfig;
+    ActorSystemConfig systemConfig;
     std::unique_ptr<caf::actor_system> system;
     caf::actor control;
-    // Bytes of asking contacts for their members.
+    // Bytes sent and received to fetch member lists from contacts.
     std::atomic<std::uint64_t> joinBytes = 0;
     std::thread controlThread;
     std::thread dataThread;
@@ -210,7 +210,7 @@
         caf::anon_send(control, std::move(message));
     }
 
-    // Runs the work on the data thread and waits for it.
+    // Runs the work on the data thread and waits for its result.
     template <typename Work>
     auto onDataThread(Work work)
     {
@@ -305,7 +305,7 @@
 HeadWatcher::Options Node::Private::headWatcherOptions()
 {
     return {.store = budgetedStore,
-        .repository = standingRepository,
+        .repository = backgroundRepository,
         .state = state,
         .log = log,
         .revisionFound = [this](auto revision) { tell(RevisionReceived{std::move(revision)}); },
@@ -334,12 +334,12 @@
     HttpRequest request(http::verb::get, "/members", 11);
     request.set(http::field::host, toString(contact));
     joinBytes += wireBytes(request);
-    const auto answer = blockingExchange(contact, std::move(request), JoinTimeout, &state->stopping);
-    if (!answer || answer->result() != http::status::ok) {
+    const auto response = blockingExchange(contact, std::move(request), JoinTimeout, &state->stopping);
+    if (!response || response->result() != http::status::ok) {
         return false;
     }
-    joinBytes += wireBytes(*answer);
-    auto members = decodeMembers(answer->body());
+    joinBytes += wireBytes(*response);
+    auto members = decodeMembers(response->body());
     if (!members) {
         log(LogLevel::Warning, "members-refused", {{"from", toString(contact)}, {"reason", members.error().message}});
         return false;
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -18,7 +18,7 @@
     struct Options
     {
         NodeSettings settings;
-        // Opens the platform's store; connections come from the client.
+        // Opens the platform's store through the given client.
         DocumentObjectStore::Open openStore;
         Logger log;
         CallPolicy calls;
@@ -27,11 +27,11 @@
     explicit Node(Options options);
     ~Node();
 
-    // Opens the ports and starts to work. Invalid if an address is taken.
+    // Opens the ports and starts the node. Invalid if an address is in use.
     Result<void> start();
 
-    // Stops gracefully: takes no new calls, lets those in flight finish for
-    // up to the drain timeout, then ends all threads. Blocks.
+    // Stops gracefully: accepts no new calls, lets those in flight finish for up to the
+    // drain timeout, then ends all threads. Blocks.
     void stop();
 
 private:
--- a/src/daemon/operatormethods.cpp
+++ b/src/daemon/operatormethods.cpp
@@ -91,7 +91,7 @@
 
 std::map<std::string, RpcServer::Method> OperatorMethods::Private::methods()
 {
-    // Params that lack a key or have it of another type become Invalid.
+    // Reports params with a missing key or a value of another type as Invalid.
     const auto wrap = [](auto method) -> RpcServer::Method {
         return [method](const std::string &params) -> Result<std::string> {
             try {
@@ -187,8 +187,8 @@
     for (const auto &[member, body] : queryFleet(options.state->members(), "/status", StatusTimeout)) {
         json node = {
             {"node", member.name.value()}, {"data_centre", member.dataCentre.value()}, {"service", member.service.value()}, {"state", toString(member.state)}};
-        // A node of another version may answer otherwise; that must not hide
-        // the others.
+        // A node of another version may respond in another format; that must not hide
+        // the other nodes' status.
         const auto status = json::parse(body.value_or(""), nullptr, false);
         const bool readable = status.is_object() && status.contains("revision");
         if (readable) {
@@ -219,11 +219,11 @@
 Result<json> OperatorMethods::Private::burn()
 {
     BurnReport report;
-    for (const auto &answer : queryFleet(options.state->members(), "/burn", StatusTimeout)) {
-        if (answer.body) {
-            report.add(reportsFromJson(*answer.body));
-        } else if (answer.member.state != MemberState::Gone) {
-            report.addMissing(answer.member.name);
+    for (const auto &response : queryFleet(options.state->members(), "/burn", StatusTimeout)) {
+        if (response.body) {
+            report.add(reportsFromJson(*response.body));
+        } else if (response.member.state != MemberState::Gone) {
+            report.addMissing(response.member.name);
         }
     }
     return toJson(report);
--- a/src/daemon/operatormethods.h
+++ b/src/daemon/operatormethods.h
@@ -24,7 +24,7 @@
     explicit OperatorMethods(Options options);
     ~OperatorMethods();
 
-    // The answer to one JSON-RPC request.
+    // Returns the response to one JSON-RPC request.
     std::string handle(const std::string &request);
 
 private:
--- a/src/daemon/platformnode.cpp
+++ b/src/daemon/platformnode.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-// A planned stop. Callers are told by the readiness address, which the platform
-// asks once a second and believes after two misses. The target goes on working
-// meanwhile, so other nodes are told later.
-constexpr Milliseconds ServeTargetTime{1300};
-constexpr Milliseconds LeaveTime{1800};
-constexpr Milliseconds LeastStopTime{2300};
+// Schedule of a planned stop, from its beginning. Callers learn of it through the
+// readiness address, which the platform polls once a second and acts upon after two
+// misses. The target goes on working meanwhile, so the other nodes are informed later.
+constexpr Milliseconds LeaveDelay{1300};
+constexpr Milliseconds SidecarDrainDelay{1800};
+constexpr Milliseconds IngressDrainDelay{2300};
 constexpr Milliseconds StopMargin{400};
 constexpr Milliseconds StopCheckInterval{50};
 
-// Time between two looks for idle connections that hold memory for nothing.
+// Time between two checks for idle connections, which are closed to free their memory.
 constexpr Milliseconds TrimInterval{1000};
 
-const char *eventOf(CallEnd end)
+const char *eventName(CallEnd end)
 {
     switch (end) {
     case CallEnd::Answered:
@@ -77,13 +77,13 @@
 asio::awaitable<void> PlatformNode::Private::tick()
 {
     for (;;) {
-        watchClock();
+        checkClock();
         trimConnections();
         fleet.tick();
         loads.tick(Clock::now());
         targetService.tick();
         rollouts.tick();
-        releaseTarget();
+        publishWithheldTarget();
         applyVersionRules();
         if (ready() != wasReady) {
             wasReady = ready();
@@ -98,21 +98,21 @@
 void PlatformNode::Private::targetChanged(const TargetAnnouncement &target, MemberState newState)
 {
     targetState = newState;
-    targetHeld = newState == MemberState::Ready && !rollouts.informed();
+    targetWithheld = newState == MemberState::Ready && !rollouts.informed();
     rollouts.setOwnVersion(target.version, target.warmUpLeft);
-    const auto published = targetHeld ? MemberState::Starting : newState;
+    const auto published = targetWithheld ? MemberState::Starting : newState;
     sidecar.announced(target, published);
     fleet.targetStateChanged(published, target.version);
 }
 
-void PlatformNode::Private::releaseTarget()
+void PlatformNode::Private::publishWithheldTarget()
 {
-    if (const auto &target = targetService.target(); target && targetHeld && rollouts.informed()) {
+    if (const auto &target = targetService.target(); target && targetWithheld && rollouts.informed()) {
         targetChanged(*target, targetState);
     }
 }
 
-// The door of the own target first: from then on no call comes in that the rules
+// The sidecar first: from then on it admits no call to the target that the rules
 // forbid.
 void PlatformNode::Private::applyVersionRules()
 {
@@ -129,7 +129,7 @@
     }
 }
 
-void PlatformNode::Private::watchClock()
+void PlatformNode::Private::checkClock()
 {
     const auto step = clockWatch.observe(std::chrono::system_clock::now(), Clock::now());
     if (step.count() != 0) {
@@ -160,7 +160,7 @@
 asio::awaitable<HttpResponse> PlatformNode::Private::answerReadiness()
 {
     co_return ready() ? makeResponse(http::status::ok, "text/plain", "ready")
-                      : makeErrorResponse(http::status::service_unavailable, "not-ready", stopping ? "this node stops" : "this node is starting");
+                      : makeErrorResponse(http::status::service_unavailable, "not-ready", stopping ? "this node is stopping" : "this node is starting");
 }
 
 std::string PlatformNode::Private::healthPath() const
@@ -170,7 +170,7 @@
     return service == nullptr ? ServiceDefinition().healthPath : service->healthPath;
 }
 
-std::string PlatformNode::Private::stageText() const
+std::string PlatformNode::Private::stageMetricsText() const
 {
     constexpr const char *Labels[] = {"stage=\"whole\"", "stage=\"line\"", "stage=\"body\"", "stage=\"target\""};
     std::string text = "# TYPE galenahill_stage_milliseconds histogram\n";
@@ -211,9 +211,9 @@
     }
     if (request.method() == http::verb::get && target == "/metrics") {
         co_return makeResponse(
-            http::status::ok, "text/plain; version=0.0.4", metricsText(gauges(), metrics.report(Clock::now())) + stageText() + rollouts.metricsText());
+            http::status::ok, "text/plain; version=0.0.4", metricsText(gauges(), metrics.report(Clock::now())) + stageMetricsText() + rollouts.metricsText());
     }
-    co_return makeErrorResponse(http::status::not_found, "not-found", "this address has /config, /members and /metrics");
+    co_return makeErrorResponse(http::status::not_found, "not-found", "unknown method or path; this address serves /config, /members and /metrics");
 }
 
 asio::awaitable<void> PlatformNode::Private::pull(Endpoint peer)
@@ -232,12 +232,12 @@
     stages[static_cast<std::size_t>(stage)].add(time);
 }
 
-void PlatformNode::Private::report(const CallReport &call)
+void PlatformNode::Private::logCall(const CallReport &call)
 {
     stageEnded(CallStage::Whole, call.latency);
     const bool plain = call.end == CallEnd::Answered && call.asked <= 1 && call.version.value().empty();
     log(plain ? LogLevel::Debug : LogLevel::Info,
-        call.cancelled ? "call-cancelled" : eventOf(call.end),
+        call.cancelled ? "call-cancelled" : eventName(call.end),
         {{"id", call.id.value()},
             {"route", call.route.value()},
             {"type", toString(call.type)},
@@ -283,14 +283,14 @@
     ingress.stop();
     ingressServer.closeAfterAnswers();
     asio::co_spawn(context, directory.withdraw(), asio::detached);
-    co_await sleepFor(context, ServeTargetTime);
+    co_await sleepFor(context, LeaveDelay);
     fleet.leave();
-    co_await sleepFor(context, LeaveTime - ServeTargetTime);
+    co_await sleepFor(context, SidecarDrainDelay - LeaveDelay);
     sidecar.drain();
     sidecarServer.closeAfterAnswers();
-    co_await sleepFor(context, LeastStopTime - LeaveTime);
-    // Callers that haven't noticed would keep the node from ever being idle,
-    // and the last of them would be cut off at the end of the time.
+    co_await sleepFor(context, IngressDrainDelay - SidecarDrainDelay);
+    // Callers that have not noticed the stop would keep the node busy, and their last
+    // calls would be cut off at the end of the stop timeout.
     ingressServer.drain();
     ingressServer.closeIdle();
     const auto until = begin + settings.stopTimeout - StopMargin;
--- a/src/daemon/platformnode.h
+++ b/src/daemon/platformnode.h
@@ -14,9 +14,9 @@
 
 namespace Galenahill {
 
-// A node whose configuration is one document in the platform's store, and
-// whose target announces itself. Runs on one thread; what the platform calls
-// things comes in through the options.
+// A node whose configuration is one document in the platform's store, and whose target
+// announces itself. Runs on one thread; the platform's names and formats are passed in
+// through the options.
 class PlatformNode
 {
 public:
@@ -24,18 +24,18 @@
     {
         PlatformNodeSettings settings;
         CallDialect dialect;
-        // Where the configuration lies in the store, and how to read it.
+        // Kind and name of the configuration document in the store, and its decoder.
         std::string configKind;
         std::string configName;
         ConfigDecoder decodeConfig;
-        // Where orders of rollouts lie, and how to read them and to write their end. An
-        // empty kind: there are none.
+        // Kind of the rollout documents in the store, their decoder and the encoder of
+        // their status. An empty kind disables rollouts.
         std::string rolloutKind;
         std::function<Result<StoredRollout>(const StoredDocument &document)> decodeRollout;
         std::function<std::string(const RolloutWrite &write)> encodeRolloutStatus;
-        // How to read what the target says.
+        // Decodes the target's requests to the registration address.
         std::function<Result<TargetMessage>(const HttpRequest &request)> decodeTarget;
-        // Opens the store through the node's client.
+        // Opens the store through the given client.
         std::function<std::unique_ptr<DocumentStore>(HttpClient &client)> openStore;
         Logger log;
     };
@@ -43,15 +43,15 @@
     PlatformNode(asio::io_context &context, Options options);
     ~PlatformNode();
 
-    // Listens and starts to work. Invalid if an address is taken.
+    // Opens the ports and starts the node. Invalid if an address is in use.
     Result<void> start();
 
-    // Takes changed settings: those that can change while a node runs. Names
-    // the others in the log.
+    // Applies the changed settings that can change while the node runs, and logs whether
+    // others changed that need a restart.
     void reload(const PlatformNodeSettings &settings);
 
-    // Begins a planned stop: callers and the other nodes are told, calls in
-    // flight finish, then the context is stopped.
+    // Begins a planned stop: the node announces it to callers and other nodes, lets calls
+    // in flight finish and then stops the context.
     void stop();
 
 private:
--- a/src/daemon/platformnode_p.h
+++ b/src/daemon/platformnode_p.h
@@ -29,14 +29,14 @@
     Logger log;
     MemberRecord self;
     std::uint64_t seed;
-    const TimePoint began = Clock::now();
+    const TimePoint startTime = Clock::now();
     bool stopping = false;
     bool wasReady = false;
     ClockWatch clockWatch;
     TimePoint lastTrim;
     std::shared_ptr<NodeState> state = std::make_shared<NodeState>();
     ServiceLevelMetrics metrics;
-    // By CallStage.
+    // Indexed by CallStage.
     std::array<LatencyHistogram, 4> stages;
     HttpClient client;
     std::unique_ptr<DocumentStore> store;
@@ -46,10 +46,10 @@
     Sidecar sidecar;
     LoadExchange loads;
     TargetService targetService;
-    // The target's state as it announced it. Until this node knows of the rollouts
-    // there are, its target counts as starting.
+    // The state that the target announced, and whether it is published as starting
+    // because this node does not know the store's rollouts yet.
     MemberState targetState = MemberState::Starting;
-    bool targetHeld = false;
+    bool targetWithheld = false;
     RolloutService rollouts;
     FleetControl fleet;
     ConfigFollower follower;
@@ -75,25 +75,25 @@
     LoadExchange::Options loadOptions();
     RolloutService::Options rolloutOptions();
     void targetChanged(const TargetAnnouncement &target, MemberState newState);
-    void releaseTarget();
+    void publishWithheldTarget();
     void applyVersionRules();
-    void limitCallers(const CallerLimits &limits);
+    void applyCallerLimits(const CallerLimits &limits);
     ConfigFollower::Options followerOptions();
     MemberDirectory::Options directoryOptions();
     RetryBudget::Options retryBudget(std::size_t members) const;
 
     asio::awaitable<void> tick();
-    void watchClock();
+    void checkClock();
     void trimConnections();
     void datagramReceived(const Endpoint &from, const std::string &bytes);
     bool ready() const;
     asio::awaitable<HttpResponse> answerReadiness();
     asio::awaitable<HttpResponse> answerPeer(HttpRequest request);
     NodeGauges gauges() const;
-    std::string stageText() const;
+    std::string stageMetricsText() const;
     void stageEnded(CallStage stage, std::chrono::microseconds time);
     std::string healthPath() const;
-    void report(const CallReport &call);
+    void logCall(const CallReport &call);
     asio::awaitable<void> pull(Endpoint peer);
     asio::awaitable<void> stopGracefully();
     std::size_t inFlight() const;
--- a/src/daemon/platformnodeprocess.cpp
+++ b/src/daemon/platformnodeprocess.cpp
@@ -47,8 +47,8 @@
     asio::signal_set signals(context, SIGTERM, SIGINT, SIGHUP);
     asio::co_spawn(context, handleSignals(signals, node, path, log), asio::detached);
     context.run();
-    // What is still suspended belongs to callers that were given up; taking it
-    // apart piece by piece serves nobody and has outlasted the time to stop.
+    // Coroutines that are still suspended belong to abandoned calls. Destroying them one
+    // by one has no use and has taken longer than the stop timeout, so exit at once.
     std::quick_exit(0);
 }
 
--- a/src/daemon/platformnodewiring.cpp
+++ b/src/daemon/platformnodewiring.cpp
@@ -1,4 +1,4 @@
-// Joins the parts of a node by their hooks.
+// Constructs the components of a PlatformNode and connects them by callbacks.
 
 #include "adapters/codec/binarycodec.h"
 #include "daemon/platformnode_p.h"
@@ -9,74 +9,74 @@
 
 namespace {
 
-// Bodies of calls and their answers pass through in parts, so that this
-// bounds time rather than memory.
+// Bodies of calls and responses are streamed, so this limit bounds time rather than
+// memory.
 constexpr std::uint64_t MaxCallBodyBytes = std::uint64_t(1) << 30;
 
 constexpr std::uint64_t BytesPerMegabit = 125000;
 
-// Body of a call that the ingress holds, and all of them together. Callers' uploads
-// have up to some hundred kilobytes; the smallest VMs have 160 MB.
-constexpr std::size_t HeldBodyBytes = 512 * 1024;
-constexpr std::size_t HeldBodiesBytes = 24 * 1024 * 1024;
+// Limits for one call body that the ingress buffers, and for all of them together.
+// Callers' uploads have up to some hundred kilobytes; the smallest VMs have 160 MB.
+constexpr std::size_t BufferedBodyBytes = 512 * 1024;
+constexpr std::size_t AllBufferedBodiesBytes = 24 * 1024 * 1024;
 
-// Largest header that a node takes, whatever the configuration says: it is held
-// in memory for each connection that sends one.
+// Largest header that a node accepts, whatever the configuration says: each connection
+// that sends one holds it in memory.
 constexpr std::uint32_t MaxHeaderBytes = 64 * 1024;
 
-// Room for the fields that nodes add to a call, each of them short; names of
+// Room for the header fields that nodes add to a call, each of them short; names of
 // routes and services have up to 100 characters.
 constexpr std::uint32_t ForwardedFieldBytes = 2048;
 
-// A whole configuration document in one answer; the store takes no larger one.
+// A response contains a whole configuration document; the store accepts no larger one.
 constexpr std::uint64_t MaxControlBodyBytes = std::uint64_t(8) << 20;
 
-// Time to connect to another node or the target. Round trips take a few
-// milliseconds; one lost packet more than this, and another target is nearer.
+// Time to connect to another node or the target. A round trip takes a few milliseconds;
+// recovery from a lost packet takes longer than this, and trying another target is faster.
 constexpr Milliseconds ConnectTimeout{300};
 
-// A kept connection whose bytes stay unacknowledged is dead: many round trips,
-// and less than any call's objective of half a second and more.
+// Time after which a kept connection with unacknowledged data counts as dead: many round
+// trips, and no more than any call's latency objective, which is at least half a second.
 constexpr Milliseconds UnackedTimeout{500};
 
 // Datagrams between nodes carry up to eight member records.
 constexpr std::size_t MaxDatagramBytes = 8192;
 
-// Time that a watcher's own watch of the store has before a newer revision is
-// fetched from a member: more than the watch's pause after a change, and with
-// the fetch itself within the two seconds that a change may take.
-constexpr Milliseconds WatcherPatience{800};
+// Time that a watcher gives its own watch of the store before it pulls a newer revision
+// from a member: more than the watch's pause after a change, and together with the pull
+// within the two seconds that a change may take.
+constexpr Milliseconds WatchGracePeriod{800};
 
-// Members of each data centre that watch the store: enough that some outlive a mass
-// failure. The others fetch deltas from them.
-constexpr std::uint32_t Watchers = 4;
+// Members of each data centre that watch the store: enough that some survive a mass
+// failure. The other members pull deltas from them.
+constexpr std::uint32_t WatchersPerDataCentre = 4;
 
-// Time after its start in which a node doesn't begin to watch: knowing nobody yet it
-// would take itself for the only watcher.
-constexpr Milliseconds WatchAfterStart{1000};
+// Time after its start for which a node does not watch: while it knows no other member,
+// it would select itself as the only watcher.
+constexpr Milliseconds WatchStartDelay{1000};
 
-// Deltas kept for the next peers; most nodes ask for the same one.
-constexpr std::size_t CachedDeltas = 2;
+// Deltas cached for further peers; most nodes request the same one.
+constexpr std::size_t CachedDeltaCount = 2;
 
-// Revisions held as bases of deltas: more than come in the time that a change takes to
-// every node.
-constexpr std::size_t HeldBases = 3;
+// Revisions kept as bases of deltas: more than are accepted in the time that a change
+// takes to reach every node.
+constexpr std::size_t DeltaBaseCount = 3;
 
-// Members that came back, as from a partition while the store is out, are
-// looked for about once a second in a fleet of a dozen.
-constexpr Milliseconds ReviveInterval{1000};
+// Time between two probes of gone members: a fleet of a dozen looks about once a second
+// for members that came back, as after a partition while the store is unavailable.
+constexpr Milliseconds ReconnectInterval{1000};
 
 constexpr Milliseconds PullTimeout{1500};
 
-// A target counts as gone after four announcements in a row were missed; one
-// that is held up for seconds must not be.
+// A target counts as lost after four missed heartbeats in a row and a margin. A target
+// that is merely delayed for seconds must not count as lost.
 constexpr int MissedHeartbeats = 4;
-constexpr Milliseconds LateHeartbeat{2000};
+constexpr Milliseconds HeartbeatMargin{2000};
 
-// Share of the fleet's budget for repeats that its nodes use: they don't agree
-// on it call by call, so each keeps below its part.
-constexpr double BudgetShare = 0.65;
-constexpr double LeastRepeats = 1.5;
+// Share of the fleet's retry budget that its nodes use, and the least slack of one node.
+// The nodes do not coordinate every call, so each of them stays below its part.
+constexpr double RetryBudgetShare = 0.65;
+constexpr double MinRetrySlack = 1.5;
 
 std::uint64_t wallClockIncarnation()
 {
@@ -99,8 +99,8 @@
     return record;
 }
 
-// What the target itself takes says how many calls it runs, and the objective
-// says how long they may wait.
+// The target's own concurrency limit says how many calls it runs, and the latency
+// objective says how long calls may wait.
 CallPolicy callPolicy()
 {
     CallPolicy policy;
@@ -165,9 +165,9 @@
 HttpServer::Options PlatformNode::Private::ingressServerOptions()
 {
     auto serverOptions = callServerOptions(settings.ingress, [this](auto request, auto &connection) { return ingress.handle(std::move(request), connection); });
-    // Held, a body can go to another target after one that refused it.
-    serverOptions.bufferedBodyBytes = HeldBodyBytes;
-    serverOptions.heldBodyBytes = HeldBodiesBytes;
+    // A buffered body can be sent to another target after one that rejected it.
+    serverOptions.bufferedBodyBytes = BufferedBodyBytes;
+    serverOptions.heldBodyBytes = AllBufferedBodiesBytes;
     serverOptions.mayRunAhead = [this](const HttpRequest &request) { return ingress.mayRunAhead(request); };
     return serverOptions;
 }
@@ -185,11 +185,11 @@
         .client = client,
         .log = log,
         .timeLimit = PullTimeout,
-        .maxCached = CachedDeltas,
-        .maxBases = HeldBases,
+        .maxCached = CachedDeltaCount,
+        .maxBases = DeltaBaseCount,
         .build = [this](ConfigBundle bundle) -> Result<std::shared_ptr<const ConfigRevision>> {
             if (bundle.files.size() != 1) {
-                return failure(ErrorKind::Corrupt, "revision: not one document; check that all nodes run the same version");
+                return failure(ErrorKind::Corrupt, "revision: expected exactly one document; check that all nodes run the same version");
             }
             return revisionOf(std::move(bundle.files.front().text), options.decodeConfig);
         }};
@@ -204,8 +204,8 @@
 
 RetryBudget::Options PlatformNode::Private::retryBudget(std::size_t members) const
 {
-    const auto slack = settings.repeatSlack * BudgetShare / static_cast<double>(std::max<std::size_t>(members, 1));
-    return {.perCall = settings.repeatShare * BudgetShare, .most = std::max(LeastRepeats, slack)};
+    const auto slack = settings.repeatSlack * RetryBudgetShare / static_cast<double>(std::max<std::size_t>(members, 1));
+    return {.perCall = settings.repeatShare * RetryBudgetShare, .most = std::max(MinRetrySlack, slack)};
 }
 
 Ingress::Options PlatformNode::Private::ingressOptions()
@@ -224,7 +224,7 @@
         .runCalled = [this](const RouteName &route, const ServiceName &service) { sidecar.runCalled(route, service); },
         .callEnded
         = [this](const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); },
-        .callReported = [this](const CallReport &call) { report(call); }};
+        .callReported = [this](const CallReport &call) { logCall(call); }};
 }
 
 Sidecar::Options PlatformNode::Private::sidecarOptions()
@@ -251,7 +251,7 @@
         .registration = {.address = settings.target,
             .service = settings.service,
             .firstStart = settings.firstStart,
-            .silence = MissedHeartbeats * settings.heartbeatInterval + LateHeartbeat},
+            .silence = MissedHeartbeats * settings.heartbeatInterval + HeartbeatMargin},
         .decode = options.decodeTarget,
         .healthPath = [this] { return healthPath(); },
         .targetIdField = options.dialect.targetId,
@@ -291,16 +291,16 @@
         loads.setMembers(state->members());
         rollouts.setMembers(state->members());
         sidecar.setView(view);
-        // The store may hold no configuration yet.
+        // The store may not hold a configuration yet.
         if (view->config) {
-            limitCallers(view->config->snapshot->callerLimits());
+            applyCallerLimits(view->config->snapshot->callerLimits());
         }
     };
     fleetOptions.revisionTaken = [this](const auto &revision) { exchange.remember(*revision); };
     fleetOptions.pull = [this](const Endpoint &peer) { asio::co_spawn(context, pull(peer), asio::detached); };
-    fleetOptions.watcherPatience = WatcherPatience;
-    fleetOptions.watchers = Watchers;
-    fleetOptions.reviveInterval = ReviveInterval;
+    fleetOptions.watcherPatience = WatchGracePeriod;
+    fleetOptions.watchers = WatchersPerDataCentre;
+    fleetOptions.reviveInterval = ReconnectInterval;
     return fleetOptions;
 }
 
@@ -316,14 +316,14 @@
         .poolLoad = [this](const PoolReport &pool, TimePoint observed) { ingress.poolLoadReceived(pool, observed); }};
 }
 
-// Other nodes pass calls on with fields of their own beside the caller's, and keep
-// their connections as long as they like.
-void PlatformNode::Private::limitCallers(const CallerLimits &limits)
+// Other nodes forward calls with header fields of their own beside the caller's, and may
+// keep their connections open as long as they like.
+void PlatformNode::Private::applyCallerLimits(const CallerLimits &limits)
 {
-    auto ofCallers = limits;
-    ofCallers.headerBytes = std::min(limits.headerBytes, MaxHeaderBytes);
-    ingressServer.limitPeers(ofCallers);
-    sidecarServer.limitPeers({.headerBytes = ofCallers.headerBytes + ForwardedFieldBytes, .bodyBytes = MaxCallBodyBytes});
+    auto effectiveLimits = limits;
+    effectiveLimits.headerBytes = std::min(limits.headerBytes, MaxHeaderBytes);
+    ingressServer.limitPeers(effectiveLimits);
+    sidecarServer.limitPeers({.headerBytes = effectiveLimits.headerBytes + ForwardedFieldBytes, .bodyBytes = MaxCallBodyBytes});
 }
 
 ConfigFollower::Options PlatformNode::Private::followerOptions()
@@ -338,7 +338,7 @@
         .found = [this](std::shared_ptr<const ConfigRevision> revision) { fleet.revisionReceived(revision); },
         .storeAnswered = [this](Revision revision) { fleet.storeAnswered(revision); },
         .storeFailed = [this] { fleet.storeFailed(); },
-        .watches = [this] { return state->watchesStore && Clock::now() - began >= WatchAfterStart; },
+        .watches = [this] { return state->watchesStore && Clock::now() - startTime >= WatchStartDelay; },
         .stopping = stopping};
 }
 
--- a/src/daemon/revisionexchange.cpp
+++ b/src/daemon/revisionexchange.cpp
@@ -26,7 +26,7 @@
 {
     const auto current = m_options.state->revisions.current();
     if (!current) {
-        return makeErrorResponse(http::status::not_found, "not-found", "this node has no revision yet; ask another one");
+        return makeErrorResponse(http::status::not_found, "not-found", "this node has no revision yet; ask another node");
     }
     const auto base = m_bases.find(ContentHash(baseDigest));
     const std::pair key(current->digest, base ? ContentHash(baseDigest) : ContentHash());
@@ -52,14 +52,14 @@
         co_return tl::unexpected(response.error());
     }
     if (response->result() != http::status::ok) {
-        co_return failure(ErrorKind::Unavailable, toString(peer) + ": has no revision to give");
+        co_return failure(ErrorKind::Unavailable, toString(peer) + ": did not return a revision");
     }
     const auto base = (*response)[BaseHeader];
     std::string baseText;
     if (base != "none") {
         auto known = m_bases.find(ContentHash(std::string(base)));
         if (!known) {
-            co_return failure(ErrorKind::Corrupt, toString(peer) + ": answered against a base that isn't held");
+            co_return failure(ErrorKind::Corrupt, toString(peer) + ": sent a delta against a base that this node does not hold");
         }
         baseText = std::move(*known);
     }
@@ -67,7 +67,7 @@
     if (!text) {
         co_return tl::unexpected(text.error());
     }
-    // Both texts are as large as the configuration, and decoding it takes more.
+    // Freed early: each text is as large as the configuration, and decoding it takes more.
     baseText = std::string();
     auto bundle = decodeBundle(*text);
     *text = std::string();
--- a/src/daemon/revisionexchange.h
+++ b/src/daemon/revisionexchange.h
@@ -11,7 +11,7 @@
 
 namespace Galenahill {
 
-// Carries whole revisions between nodes as compressed deltas against what the
+// Transfers whole revisions between nodes, as compressed deltas against a base that the
 // receiver holds. Used on the control thread only.
 class RevisionExchange
 {
@@ -22,23 +22,23 @@
         HttpClient &client;
         Logger log;
         Milliseconds timeLimit{2000};
-        // Deltas that are kept for the next peers.
+        // Deltas cached for further peers.
         std::size_t maxCached = 8;
-        // Revisions that serve as bases: the one in force and those before it.
+        // Revisions kept as bases: the one in force and those before it.
         std::size_t maxBases = 4;
-        // Makes a revision of a bundle that came; checks all of it.
+        // Builds a revision from a received bundle and validates all of it.
         std::function<Result<std::shared_ptr<const ConfigRevision>>(ConfigBundle)> build = ConfigRevision::fromBundle;
     };
 
     explicit RevisionExchange(Options options);
 
-    // The revision came into force; it is a base from now on.
+    // Keeps a revision that came into force as a base.
     void remember(const ConfigRevision &revision);
 
-    // Answers a peer that holds the base of that digest, or none.
+    // Responds to a peer that holds the base of that digest, or no base.
     HttpResponse serve(const std::string &baseDigest);
 
-    // Fetches the peer's revision, verified and validated.
+    // Pulls the peer's revision, and verifies and validates it.
     asio::awaitable<Result<std::shared_ptr<const ConfigRevision>>> pull(Endpoint peer);
 
 private:
