--- a/autotests/support/httptest.h
+++ b/autotests/support/httptest.h
@@ -14,18 +14,18 @@
 
 namespace Galenahill {
 
-// How long a test waits for what must happen, however busy the machine is.
+// How long a test waits for an expected event; generous, for busy machines.
 inline constexpr Milliseconds Patience{30000};
 
-// A loopback address for the server number N of a test program; programs that
-// may run side by side use different numbers.
+// The loopback address of a test program's server with that number. Programs that may run at the same
+// time use different numbers.
 inline std::string testAddress(int number)
 {
     const char *network = std::getenv("GALENAHILL_TEST_NETWORK");
     return "127." + std::string(network == nullptr ? "20" : network) + ".250." + std::to_string(number);
 }
 
-// A server with a thread of its own.
+// A server that runs on its own thread.
 class RunningServer
 {
 public:
@@ -50,7 +50,7 @@
         return m_context;
     }
 
-    // Runs the function on the server's thread and gives its result.
+    // Runs the function on the server's thread and returns its result.
     template <typename Function>
     auto ask(Function function)
     {
@@ -60,7 +60,7 @@
         return result.get();
     }
 
-    // Waits until the condition on the server holds.
+    // Waits until the condition on the server holds; false if the time is up.
     template <typename Condition>
     bool waitUntil(Condition condition)
     {
@@ -81,7 +81,7 @@
     std::thread m_thread;
 };
 
-// A caller that sends whatever bytes a test wants.
+// A client that sends arbitrary bytes.
 class RawCaller
 {
 public:
@@ -93,7 +93,7 @@
         setsockopt(m_socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     }
 
-    // Whether all bytes were taken.
+    // Sends the bytes; false if the connection failed.
     bool send(std::string_view bytes)
     {
         ErrorCode error;
@@ -101,7 +101,7 @@
         return !error;
     }
 
-    // Reads until the text has been seen; empty if the server closed first.
+    // Reads up to the end of that text; empty if the server closed first.
     std::string readTo(const std::string &text)
     {
         while (m_received.find(text) == std::string::npos) {
@@ -115,14 +115,14 @@
         return result;
     }
 
-    // Reads until the server closes; nothing if it doesn't.
+    // Reads until the server closes; nothing if it doesn't within the time limit.
     std::optional<std::string> readToEnd()
     {
         while (receive()) { }
         return m_closed ? std::optional(m_received) : std::nullopt;
     }
 
-    // Drops so many bytes; false if the server closed first.
+    // Discards that many bytes; false if the server closed first.
     bool skip(std::size_t count)
     {
         while (m_received.size() < count) {
@@ -135,7 +135,7 @@
         return true;
     }
 
-    // Drops all until the server closes, but for the last five bytes.
+    // Discards everything until the server closes; returns the last five bytes.
     std::string skipToEnd()
     {
         while (receive()) {
--- a/autotests/unit/bodyoffertest.cpp
+++ b/autotests/unit/bodyoffertest.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-const Endpoint Here{testAddress(10), 18100};
+const Endpoint ServerEndpoint{testAddress(10), 18100};
 const std::string Body(60000, 'b');
 
-// A server that asks for offered bodies as it likes, and counts connections.
+// A server whose handler reads offered bodies completely, in part or not at all, and counts the bytes.
 struct Fixture
 {
-    std::atomic<bool> takes = false;
-    std::atomic<bool> leavesHalf = false;
+    std::atomic<bool> acceptsBodies = false;
+    std::atomic<bool> stopsHalfway = false;
     std::atomic<std::size_t> bodyBytes = 0;
-    HttpServer::Options options{.endpoint = Here,
+    HttpServer::Options options{.endpoint = ServerEndpoint,
         .handler = [this](HttpRequest request, ServerConnection &connection) { return handle(std::move(request), connection); },
         .streamBodies = true,
         .peersWaitForContinue = true};
@@ -25,18 +25,18 @@
     {
         auto *body = connection.requestBody();
         ErrorCode error;
-        while (takes && body != nullptr && !body->done() && !error) {
+        while (acceptsBodies && body != nullptr && !body->done() && !error) {
             error = co_await body->read(request.body(), 16384);
-            if (leavesHalf) {
+            if (stopsHalfway) {
                 break;
             }
         }
         bodyBytes += request.body().size();
-        co_return makeResponse(takes ? http::status::ok : http::status::service_unavailable, "text/plain", std::to_string(request.body().size()));
+        co_return makeResponse(acceptsBodies ? http::status::ok : http::status::service_unavailable, "text/plain", std::to_string(request.body().size()));
     }
 };
 
-// A client with a thread of its own that makes one exchange at a time.
+// A client that runs on its own thread and makes one exchange at a time.
 class Caller
 {
 public:
@@ -62,10 +62,10 @@
                 HttpRequest request(http::verb::post, "/upload", 11);
                 request.set(http::field::host, "h");
                 request.body() = body;
-                HttpClient::Companions companions;
-                companions.askFirst = true;
-                auto answer = co_await m_client.exchange(Here, request, Clock::now() + Patience, companions);
-                promise.set_value(std::move(answer));
+                HttpClient::Companions exchangeOptions;
+                exchangeOptions.askFirst = true;
+                auto response = co_await m_client.exchange(ServerEndpoint, request, Clock::now() + Patience, exchangeOptions);
+                promise.set_value(std::move(response));
             },
             asio::detached);
         return promise.get_future().get();
@@ -78,7 +78,7 @@
 
     std::size_t connections() const
     {
-        return m_client.openConnections(Here);
+        return m_client.openConnections(ServerEndpoint);
     }
 
 private:
@@ -90,62 +90,62 @@
 
 }
 
-// A full target refuses uploads of 60 KB. Sent with the offer, each would cost its link
-// of 7 Mbit/s 70 ms for nothing. A refused one costs some hundred bytes, and the
-// connection carries the next.
-BOOST_FIXTURE_TEST_CASE(ARefusedOfferCostsNoBody, Fixture)
+// A target without free slots rejects uploads of 60 KB. A body sent with its header would occupy the
+// target's link of 7 Mbit/s for 70 ms in vain. A rejected offer costs a few hundred bytes, and the
+// connection is reused.
+BOOST_FIXTURE_TEST_CASE(DoesNotSendARejectedBody, Fixture)
 {
     RunningServer server(options);
     Caller caller;
     for (int i = 0; i < 5; ++i) {
-        const auto answer = caller.offer(Body);
-        BOOST_REQUIRE(answer.has_value());
-        BOOST_TEST(answer->result_int() == 503U);
+        const auto response = caller.offer(Body);
+        BOOST_REQUIRE(response.has_value());
+        BOOST_TEST(response->result_int() == 503U);
     }
     BOOST_TEST(caller.bytes() < 5000U);
     BOOST_TEST(caller.connections() == 1U);
-    takes = true;
-    const auto answer = caller.offer(Body);
-    BOOST_REQUIRE(answer.has_value());
-    BOOST_TEST(answer->body() == std::to_string(Body.size()));
+    acceptsBodies = true;
+    const auto response = caller.offer(Body);
+    BOOST_REQUIRE(response.has_value());
+    BOOST_TEST(response->body() == std::to_string(Body.size()));
     BOOST_TEST(caller.connections() == 1U);
 }
 
-// A small body goes along with its header: a question would cost a round trip.
-BOOST_FIXTURE_TEST_CASE(ASmallBodyIsSentAtOnce, Fixture)
+// A small body is sent with its header, since waiting for 100 Continue would cost a round trip.
+BOOST_FIXTURE_TEST_CASE(SendsASmallBodyWithItsHeader, Fixture)
 {
     RunningServer server(options);
     Caller caller;
-    takes = true;
-    const auto answer = caller.offer("small");
-    BOOST_REQUIRE(answer.has_value());
-    BOOST_TEST(answer->body() == "5");
+    acceptsBodies = true;
+    const auto response = caller.offer("small");
+    BOOST_REQUIRE(response.has_value());
+    BOOST_TEST(response->body() == "5");
 }
 
-// The server answers with half of the body unread. Its connection isn't used again:
-// the rest of the body would stand where the next request is expected.
-BOOST_FIXTURE_TEST_CASE(AnAnswerBeforeTheBodyEndsTheConnection, Fixture)
+// The server responds before it has read the whole body. The connection isn't reused: the rest of the
+// body would be read as the next request.
+BOOST_FIXTURE_TEST_CASE(ClosesTheConnectionAfterAnEarlyResponse, Fixture)
 {
     RunningServer server(options);
     Caller caller;
-    takes = true;
-    leavesHalf = true;
-    const auto half = caller.offer(Body);
-    BOOST_TEST((!half || half->keep_alive() == false));
-    leavesHalf = false;
-    const auto answer = caller.offer(Body);
-    BOOST_REQUIRE(answer.has_value());
-    BOOST_TEST(answer->body() == std::to_string(Body.size()));
+    acceptsBodies = true;
+    stopsHalfway = true;
+    const auto earlyResponse = caller.offer(Body);
+    BOOST_TEST((!earlyResponse || earlyResponse->keep_alive() == false));
+    stopsHalfway = false;
+    const auto response = caller.offer(Body);
+    BOOST_REQUIRE(response.has_value());
+    BOOST_TEST(response->body() == std::to_string(Body.size()));
 }
 
-// The sidecar's VM loses its process between an upload's header and its answer. Read on,
-// the client waited for its deadline, or got an empty header for 200: the caller took
-// its spreadsheet for stored. It must be told at once that nothing is known.
-BOOST_AUTO_TEST_CASE(AnOfferThatIsNeverAnsweredIsNoSuccess)
+// The sidecar's process dies between the header of an upload and its response. If the client went on
+// reading, it would wait for its deadline or take an empty header for status 200, and the caller would
+// assume that its upload was stored. The client must report an unknown outcome immediately.
+BOOST_AUTO_TEST_CASE(FailsIfTheOfferGetsNoResponse)
 {
     for (const std::string part : {"", "HTT", "HTTP/1.1 100 Continue\r\n", "HTTP/1.1 100 Continue\r\n\r\n"}) {
         asio::io_context context;
-        Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::make_address(Here.address), Here.port));
+        Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::make_address(ServerEndpoint.address), ServerEndpoint.port));
         std::thread server([&] {
             auto socket = acceptor.accept();
             std::string received;
@@ -155,26 +155,26 @@
         });
         Caller caller;
         const auto begin = Clock::now();
-        const auto answer = caller.offer(Body);
+        const auto response = caller.offer(Body);
         server.join();
         BOOST_TEST((Clock::now() < begin + Patience / 2));
-        BOOST_TEST(!answer.has_value(), "after \"" << part << "\"");
-        BOOST_TEST((answer || answer.error().kind == ErrorKind::OutcomeUnknown));
+        BOOST_TEST(!response.has_value(), "after \"" << part << "\"");
+        BOOST_TEST((response || response.error().kind == ErrorKind::OutcomeUnknown));
     }
 }
 
-// A peer that isn't a node sends its body without waiting to be asked. Refused, it
-// is answered, and nothing of its body is taken for a request.
-BOOST_FIXTURE_TEST_CASE(ABodySentUnaskedIsNoRequest, Fixture)
+// A peer that isn't a node sends its body without waiting for 100 Continue. If it is rejected, it gets a
+// response, and no part of its body is interpreted as a request.
+BOOST_FIXTURE_TEST_CASE(DoesNotParseAnUnsolicitedBodyAsARequest, Fixture)
 {
     options.peersWaitForContinue = false;
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     const std::string body = hidden + std::string(80000, 'x');
     caller.send("POST /upload HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-    const auto answers = caller.readToEnd();
-    BOOST_REQUIRE(answers.has_value());
-    BOOST_TEST(answers->find("HTTP/1.1 503") != std::string::npos);
-    BOOST_TEST(answers->find("HTTP/1.1", answers->find("HTTP/1.1 503") + 1) == std::string::npos);
+    const auto responses = caller.readToEnd();
+    BOOST_REQUIRE(responses.has_value());
+    BOOST_TEST(responses->find("HTTP/1.1 503") != std::string::npos);
+    BOOST_TEST(responses->find("HTTP/1.1", responses->find("HTTP/1.1 503") + 1) == std::string::npos);
 }
--- a/autotests/unit/deltabasestest.cpp
+++ b/autotests/unit/deltabasestest.cpp
@@ -22,10 +22,10 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(HoldsFormerTextsAsBases)
+BOOST_AUTO_TEST_CASE(StoresTheMostRecentTexts)
 {
-    constexpr int MaxHeld = 4;
-    DeltaBases bases(MaxHeld);
+    constexpr int MaxTexts = 4;
+    DeltaBases bases(MaxTexts);
     bases.add(digest(1), text(1));
     bases.add(digest(2), text(2));
     BOOST_TEST(bases.find(digest(1)).value_or("") == text(1));
@@ -39,9 +39,8 @@
     BOOST_TEST(!bases.find(ContentHash("none")).has_value());
 }
 
-// Configurations are lists of like entries: what is held of them is a small
-// part of their size.
-BOOST_AUTO_TEST_CASE(HoldsAPartOfTheirSize)
+// Configurations are lists of similar entries, so their compressed size is a small fraction.
+BOOST_AUTO_TEST_CASE(StoresTextsCompressed)
 {
     DeltaBases bases(1);
     bases.add(digest(1), text(1));
--- a/autotests/unit/httpclienttest.cpp
+++ b/autotests/unit/httpclienttest.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-const Endpoint Here{testAddress(2), 18080};
+const Endpoint ServerEndpoint{testAddress(2), 18080};
 
-const std::string WholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
+const std::string CompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
 
-// A server that does to each connection whatever a test wants.
+// A server that runs a script for each connection.
 class ScriptedServer
 {
 public:
     using Script = std::function<void(Tcp::socket &socket, int connection)>;
 
     explicit ScriptedServer(Script script)
-        : m_acceptor(m_context, Tcp::endpoint(asio::ip::make_address(Here.address), Here.port))
+        : m_acceptor(m_context, Tcp::endpoint(asio::ip::make_address(ServerEndpoint.address), ServerEndpoint.port))
         , m_thread([this, script] { run(script); })
     {
     }
@@ -30,7 +30,7 @@
         m_thread.join();
     }
 
-    // Requests whose header has arrived.
+    // Number of requests whose header has arrived.
     std::atomic<int> requests = 0;
 
     // Reads a request without a body; false if the client closed.
@@ -100,9 +100,9 @@
     {
         HttpRequest request(http::verb::post, "/orders", 11);
         request.set(http::field::host, "h");
-        HttpClient::Companions companions;
-        companions.cancellation = cancellation;
-        result = co_await client->exchange(Here, request, Clock::now() + limit, companions);
+        HttpClient::Companions exchangeOptions;
+        exchangeOptions.cancellation = cancellation;
+        result = co_await client->exchange(ServerEndpoint, request, Clock::now() + limit, exchangeOptions);
     }
 };
 
@@ -114,12 +114,11 @@
 
 }
 
-// The server takes the request and closes without an answer, or answers in
-// part. It may have run, so the client must not send it again by itself, and
-// must not take the part for the whole answer.
-BOOST_FIXTURE_TEST_CASE(SendsARequestOnceWhateverBecomesOfIt, Fixture)
+// The server reads the request and closes without a response, or with a truncated or malformed one. The
+// request may have run, so the client must not send it again by itself, nor accept such a response.
+BOOST_FIXTURE_TEST_CASE(SendsARequestOnlyOnce, Fixture)
 {
-    const std::vector<std::string> ends = {
+    const std::vector<std::string> invalidResponses = {
         "",
         "HTTP/1.1 200 OK\r\nContent-",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
@@ -130,32 +129,32 @@
     ScriptedServer *self = nullptr;
     ScriptedServer server([&](Tcp::socket &socket, int connection) {
         if (self->readRequest(socket)) {
-            ScriptedServer::send(socket, ends[static_cast<std::size_t>(connection)]);
+            ScriptedServer::send(socket, invalidResponses[static_cast<std::size_t>(connection)]);
         }
     });
     self = &server;
-    for (std::size_t i = 0; i < ends.size(); ++i) {
+    for (std::size_t i = 0; i < invalidResponses.size(); ++i) {
         BOOST_TEST((kindOf(exchange()) == ErrorKind::OutcomeUnknown));
         BOOST_TEST(server.requests == static_cast<int>(i) + 1);
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(SaysUnavailableOnlyIfNothingWasSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(ReturnsUnavailableIfNothingWasSent, Fixture)
 {
     BOOST_TEST((kindOf(exchange()) == ErrorKind::Unavailable));
 }
 
-// The server closes an idle connection, or sends something unasked on it. The
-// next request must go out on a fresh one: on the first its outcome would be
-// unknown for nothing, on the second it would get another request's answer.
-BOOST_FIXTURE_TEST_CASE(NeverUsesASpoiltIdleConnection, Fixture)
+// The server closes an idle connection, or sends unsolicited bytes on it. The next request must use a
+// new connection: on the first, its outcome would be unknown without need; on the second, it would
+// receive a response that isn't its own.
+BOOST_FIXTURE_TEST_CASE(DoesNotReuseABrokenIdleConnection, Fixture)
 {
-    std::promise<void> spoilt[2];
+    std::promise<void> broken[2];
     ScriptedServer *self = nullptr;
     std::vector<Tcp::socket> open;
     ScriptedServer server([&](Tcp::socket &socket, int connection) {
         self->readRequest(socket);
-        ScriptedServer::send(socket, WholeAnswer);
+        ScriptedServer::send(socket, CompleteResponse);
         if (connection == 1) {
             ScriptedServer::send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad");
             open.push_back(std::move(socket));
@@ -163,24 +162,24 @@
             socket.close();
         }
         if (connection < 2) {
-            spoilt[connection].set_value();
+            broken[connection].set_value();
         }
     });
     self = &server;
     for (int i = 0; i < 3; ++i) {
-        const auto answer = exchange();
-        BOOST_REQUIRE(answer.has_value());
-        BOOST_TEST(answer->body() == "good");
+        const auto response = exchange();
+        BOOST_REQUIRE(response.has_value());
+        BOOST_TEST(response->body() == "good");
         if (i < 2) {
-            spoilt[i].get_future().wait();
+            broken[i].get_future().wait();
         }
     }
     BOOST_TEST(server.requests == 3);
 }
 
-// An answer comes after its request was given up. The next request must not
-// get it, so the connection that it comes on is closed.
-BOOST_FIXTURE_TEST_CASE(NeverReusesAConnectionWithALateAnswer, Fixture)
+// A response arrives after its request has timed out. The next request must not receive it, so the
+// connection is closed.
+BOOST_FIXTURE_TEST_CASE(DoesNotReuseAConnectionWithALateResponse, Fixture)
 {
     ScriptedServer *self = nullptr;
     std::promise<void> closed;
@@ -193,17 +192,17 @@
             ScriptedServer::send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             return;
         }
-        ScriptedServer::send(socket, WholeAnswer);
+        ScriptedServer::send(socket, CompleteResponse);
     });
     self = &server;
     BOOST_TEST((kindOf(exchange(Milliseconds(50))) == ErrorKind::OutcomeUnknown));
     BOOST_TEST((closed.get_future().wait_for(Patience) == std::future_status::ready));
     BOOST_TEST(exchange()->body() == "good");
-    BOOST_TEST(client->openConnections(Here) == 1U);
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 1U);
 }
 
-// The caller gives up while the answer is awaited: the server sees the
-// connection close, which is how it learns that the call is cancelled.
+// The caller cancels while the response is awaited. The connection is closed, which tells the server
+// that the call is cancelled.
 BOOST_FIXTURE_TEST_CASE(ClosesTheConnectionWhenCancelled, Fixture)
 {
     ScriptedServer *self = nullptr;
@@ -214,24 +213,24 @@
         asio::post(context, [&] { cancellation.cancel(); });
         pollfd closing{socket.native_handle(), POLLIN, 0};
         const bool seen = ::poll(&closing, 1, static_cast<int>(Patience.count())) == 1 && !self->readRequest(socket);
-        ScriptedServer::send(socket, WholeAnswer);
+        ScriptedServer::send(socket, CompleteResponse);
         closed.set_value(seen);
     });
     self = &server;
     BOOST_TEST((kindOf(exchange(3 * Patience, &cancellation)) == ErrorKind::OutcomeUnknown));
     BOOST_TEST(closed.get_future().get());
-    BOOST_TEST(client->openConnections(Here) == 0U);
-    // Given up before it began: nothing is sent.
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 0U);
+    // Already cancelled before the exchange begins: nothing is sent.
     BOOST_TEST((kindOf(exchange(Patience, &cancellation)) == ErrorKind::Unavailable));
     BOOST_TEST(server.requests == 1);
 }
 
-// The target takes about 120 connections. One more than its limit would be
-// refused, or push out another's.
-BOOST_FIXTURE_TEST_CASE(HoldsTheLimitOfConnections, Fixture)
+// A target accepts about 120 connections. One more than its limit would be rejected or would replace
+// another client's connection.
+BOOST_FIXTURE_TEST_CASE(LimitsOpenConnections, Fixture)
 {
     std::atomic<std::size_t> running = 0;
-    RunningServer server({.endpoint = Here, .handler = [&](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> {
+    RunningServer server({.endpoint = ServerEndpoint, .handler = [&](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> {
                               ++running;
                               asio::steady_timer timer(co_await asio::this_coro::executor);
                               while (running < 3) {
@@ -240,41 +239,40 @@
                               }
                               co_return makeResponse(http::status::ok, "text/plain", "good");
                           }});
-    client->limitConnections(Here, 3);
-    asio::co_spawn(context, client->warm(Here, 100, Clock::now() + Patience), asio::detached);
+    client->limitConnections(ServerEndpoint, 3);
+    asio::co_spawn(context, client->warm(ServerEndpoint, 100, Clock::now() + Patience), asio::detached);
     context.run();
-    BOOST_TEST(client->openConnections(Here) == 3U);
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 3U);
     std::vector<std::optional<Result<HttpResponse>>> results(10);
     for (auto &result : results) {
         asio::co_spawn(context, exchangeInto(Patience, nullptr, result), asio::detached);
     }
     context.restart();
     context.run();
-    const auto answered = std::count_if(results.begin(), results.end(), [](const auto &result) { return result->has_value(); });
-    const auto refused
+    const auto succeeded = std::count_if(results.begin(), results.end(), [](const auto &result) { return result->has_value(); });
+    const auto unavailable
         = std::count_if(results.begin(), results.end(), [](const auto &result) { return !*result && result->error().kind == ErrorKind::Unavailable; });
-    BOOST_TEST(answered == 3);
-    BOOST_TEST(refused == 7);
+    BOOST_TEST(succeeded == 3);
+    BOOST_TEST(unavailable == 7);
     BOOST_TEST(server.ask([](HttpServer &it) { return it.connections(); }) == 3U);
 }
 
-// A target forgets connections that rested for some hundred milliseconds, and
-// resets what comes next. A call that may run once only must not be the one that
-// finds out: it goes out on a new connection, and the next call that may be
-// repeated still uses the rested one.
-BOOST_FIXTURE_TEST_CASE(UsesNoRestedConnectionIfToldSo, Fixture)
+// A target drops connections that were idle for some hundred milliseconds, and resets them at the next
+// request. A call that must not be retried therefore uses a new connection, while the next call that
+// may be retried still uses the idle one.
+BOOST_FIXTURE_TEST_CASE(UsesNoConnectionBeyondMaxIdle, Fixture)
 {
-    RunningServer server({.endpoint = Here,
+    RunningServer server({.endpoint = ServerEndpoint,
         .handler = [&](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> { co_return makeResponse(http::status::ok, "text/plain", "good"); }});
     const auto send = [&](Milliseconds maxIdle) {
         std::optional<Result<HttpResponse>> result;
         HttpRequest request(http::verb::get, "/", 11);
         request.set(http::field::host, "h");
-        HttpClient::Companions companions;
-        companions.maxIdle = maxIdle;
+        HttpClient::Companions exchangeOptions;
+        exchangeOptions.maxIdle = maxIdle;
         asio::co_spawn(
             context,
-            [&]() -> asio::awaitable<void> { result = co_await client->exchange(Here, request, Clock::now() + Patience, companions); },
+            [&]() -> asio::awaitable<void> { result = co_await client->exchange(ServerEndpoint, request, Clock::now() + Patience, exchangeOptions); },
             asio::detached);
         context.restart();
         context.run();
@@ -282,11 +280,11 @@
     };
     BOOST_TEST(send(std::chrono::hours(1)));
     BOOST_TEST(send(std::chrono::hours(1)));
-    BOOST_TEST(client->openConnections(Here) == 1U);
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 1U);
     std::this_thread::sleep_for(Milliseconds(30));
     BOOST_TEST(send(Milliseconds(10)));
-    BOOST_TEST(client->openConnections(Here) == 2U);
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 2U);
     std::this_thread::sleep_for(Milliseconds(30));
     BOOST_TEST(send(HttpClient::Companions().maxIdle));
-    BOOST_TEST(client->openConnections(Here) == 2U);
+    BOOST_TEST(client->openConnections(ServerEndpoint) == 2U);
 }
--- a/autotests/unit/httpservertest.cpp
+++ b/autotests/unit/httpservertest.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-const Endpoint Here{testAddress(1), 18080};
+const Endpoint ServerEndpoint{testAddress(1), 18080};
 
-// A server that counts and echoes what reaches its handler.
+// A server whose handler counts requests and echoes them.
 struct Fixture
 {
     std::atomic<int> handled = 0;
     std::atomic<int> cancelled = 0;
     std::atomic<bool> release = false;
     HttpServer::Options options{
-        .endpoint = Here, .handler = [this](HttpRequest request, ServerConnection &connection) { return handle(std::move(request), connection); }};
+        .endpoint = ServerEndpoint, .handler = [this](HttpRequest request, ServerConnection &connection) { return handle(std::move(request), connection); }};
 
     asio::awaitable<HttpResponse> handle(HttpRequest request, ServerConnection &connection)
     {
@@ -43,12 +43,12 @@
     return "GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n";
 }
 
-int statusOf(const std::string &answer)
+int statusOf(const std::string &response)
 {
-    return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
+    return response.size() < 12 ? 0 : std::stoi(response.substr(9, 3));
 }
 
-// Each connection is served after the tests' worst one.
+// Checks that the server still serves a regular request.
 void checkServes(const Endpoint &endpoint)
 {
     RawCaller caller(endpoint);
@@ -58,27 +58,26 @@
 
 }
 
-// A caller's request makes the handler throw. Without a catch the connection's
-// coroutine ends there: the caller waits for ever, and the request counts as
-// in flight for good, so that a planned stop runs into its time limit.
-BOOST_FIXTURE_TEST_CASE(AnswersWhenTheHandlerThrows, Fixture)
+// A request makes the handler throw. An uncaught exception would end the connection's coroutine: the
+// caller would wait for ever, and the request would count as in flight for good, so that a planned
+// stop would run into its time limit.
+BOOST_FIXTURE_TEST_CASE(RespondsWhenTheHandlerThrows, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/throw"));
-    const auto answer = caller.readToEnd();
-    BOOST_REQUIRE(answer.has_value());
-    BOOST_TEST(statusOf(*answer) == 500);
-    BOOST_TEST(answer->find("Galenahill-Outcome: outcome-unknown") != std::string::npos);
-    BOOST_TEST(answer->find("Connection: close") != std::string::npos);
+    const auto response = caller.readToEnd();
+    BOOST_REQUIRE(response.has_value());
+    BOOST_TEST(statusOf(*response) == 500);
+    BOOST_TEST(response->find("Galenahill-Outcome: outcome-unknown") != std::string::npos);
+    BOOST_TEST(response->find("Connection: close") != std::string::npos);
     BOOST_TEST(server.waitUntil([](HttpServer &it) { return it.requestsInFlight() == 0 && it.connections() == 0; }));
-    checkServes(Here);
+    checkServes(ServerEndpoint);
 }
 
-// A caller sends a request whose end two parsers see in different places, and
-// hides a second request behind it. Were it passed on, the target would run a
-// request that no route or limit has been applied to.
-BOOST_FIXTURE_TEST_CASE(RefusesWhatCouldBeReadInTwoWays, Fixture)
+// Request smuggling: a request whose end parsers determine differently hides a second one. If it were
+// forwarded, the target would run a request that no route or limit has been applied to.
+BOOST_FIXTURE_TEST_CASE(RejectsAmbiguousRequests, Fixture)
 {
     RunningServer server(options);
     const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\n";
@@ -122,21 +121,21 @@
     for (const auto &shape : shapes) {
         BOOST_TEST_CONTEXT(shape)
         {
-            RawCaller caller(Here);
+            RawCaller caller(ServerEndpoint);
             caller.send(shape + get("/hidden"));
-            const auto answer = caller.readToEnd();
-            BOOST_REQUIRE(answer.has_value());
-            BOOST_TEST((statusOf(*answer) >= 400 && statusOf(*answer) < 502));
-            BOOST_TEST(answer->find("Connection: close") != std::string::npos);
-            BOOST_TEST(answer->find("Galenahill-Outcome: not-run") != std::string::npos);
-            BOOST_TEST(answer->find("\"error\"") != std::string::npos);
+            const auto response = caller.readToEnd();
+            BOOST_REQUIRE(response.has_value());
+            BOOST_TEST((statusOf(*response) >= 400 && statusOf(*response) < 502));
+            BOOST_TEST(response->find("Connection: close") != std::string::npos);
+            BOOST_TEST(response->find("Galenahill-Outcome: not-run") != std::string::npos);
+            BOOST_TEST(response->find("\"error\"") != std::string::npos);
         }
     }
     BOOST_TEST(handled == 0);
-    checkServes(Here);
+    checkServes(ServerEndpoint);
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusesMalformedRequests, Fixture)
+BOOST_FIXTURE_TEST_CASE(RejectsMalformedRequests, Fixture)
 {
     RunningServer server(options);
     const std::vector<std::pair<std::string, int>> cases = {
@@ -160,27 +159,27 @@
     for (const auto &[bytes, status] : cases) {
         BOOST_TEST_CONTEXT(bytes.substr(0, 80))
         {
-            RawCaller caller(Here);
+            RawCaller caller(ServerEndpoint);
             caller.send(bytes);
-            const auto answer = caller.readToEnd();
-            BOOST_REQUIRE(answer.has_value());
-            BOOST_TEST(statusOf(*answer) == status);
+            const auto response = caller.readToEnd();
+            BOOST_REQUIRE(response.has_value());
+            BOOST_TEST(statusOf(*response) == status);
         }
     }
     BOOST_TEST(handled == 0);
-    checkServes(Here);
+    checkServes(ServerEndpoint);
 }
 
-// A caller sends its header or its body a byte at a time, or takes no byte of
-// the answer, and so would hold a connection and its memory for ever. Each
-// has a time limit as a whole, which a trickle doesn't renew.
-BOOST_FIXTURE_TEST_CASE(EndsSlowCallers, Fixture)
+// A caller sends its header or body byte by byte, or doesn't read the response, and would keep a
+// connection and its memory for ever. Header, body and response each have a time limit, which single
+// bytes don't extend.
+BOOST_FIXTURE_TEST_CASE(TimesOutSlowCallers, Fixture)
 {
     options.readTimeout = Milliseconds(200);
     options.limits.headerTimeout = Milliseconds(200);
     RunningServer server(options);
     for (const std::string start : {"GET /a HTTP/1.1\r\nX: ", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n"}) {
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         caller.send(start);
         std::atomic<bool> stop = false;
         std::thread trickle([&] {
@@ -188,22 +187,22 @@
                 std::this_thread::sleep_for(Milliseconds(5));
             }
         });
-        const auto answer = caller.readTo("Connection: close");
+        const auto response = caller.readTo("Connection: close");
         stop = true;
         trickle.join();
-        BOOST_TEST(statusOf(answer) == 408);
+        BOOST_TEST(statusOf(response) == 408);
     }
-    RawCaller reader(Here);
+    RawCaller reader(ServerEndpoint);
     reader.send(get("/large"));
     reader.readTo("200 OK");
     BOOST_TEST(server.waitUntil([](HttpServer &it) { return it.requestsInFlight() == 0 && it.connections() == 0; }));
-    checkServes(Here);
+    checkServes(ServerEndpoint);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnswersPipelinedRequestsInOrder, Fixture)
+BOOST_FIXTURE_TEST_CASE(RespondsToPipelinedRequestsInOrder, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     std::string requests;
     for (int i = 0; i < 500; ++i) {
         requests += get("/" + std::to_string(i));
@@ -211,18 +210,18 @@
     std::thread sender([&] { caller.send(requests); });
     for (int i = 0; i < 500; ++i) {
         const auto wanted = "\r\n\r\n/" + std::to_string(i) + "||h";
-        const auto answer = caller.readTo(wanted);
-        BOOST_TEST(statusOf(answer) == 200);
-        BOOST_TEST(answer.find("200 OK", 20) == std::string::npos);
+        const auto response = caller.readTo(wanted);
+        BOOST_TEST(statusOf(response) == 200);
+        BOOST_TEST(response.find("200 OK", 20) == std::string::npos);
     }
     sender.join();
     BOOST_TEST(handled == 500);
 }
 
-BOOST_FIXTURE_TEST_CASE(FollowsTheRulesOfTheProtocol, Fixture)
+BOOST_FIXTURE_TEST_CASE(FollowsTheProtocol, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
     BOOST_TEST(caller.readTo("\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
     caller.send("abc");
@@ -236,42 +235,42 @@
     BOOST_TEST(!caller.readTo("\r\n\r\n/?q||other").empty());
     caller.send("OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n");
     BOOST_TEST(!caller.readTo("\r\n\r\n*||h").empty());
-    // Fields that trail a body don't become fields of the request.
+    // Trailer fields don't become header fields of the request.
     caller.send("POST /t HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nHost: forged\r\n\r\n");
     BOOST_TEST(!caller.readTo("/t|abc|h").empty());
     caller.send("\r\nGET /old HTTP/1.0\r\n\r\n");
     BOOST_TEST(caller.readToEnd()->find("/old||") != std::string::npos);
 }
 
-// Peers connect and send nothing until the server's connections are used up.
-// Without making room everybody else is kept out until the peers' time is up.
-// The one that is closed is never one whose request is being handled.
-BOOST_FIXTURE_TEST_CASE(ServesOthersWhenItsConnectionsAreUsedUp, Fixture)
+// Peers connect and send nothing until the server's connection limit is reached. If the server didn't
+// close any, all others would be locked out until the peers' time limits pass. It never closes a
+// connection whose request is being handled.
+BOOST_FIXTURE_TEST_CASE(ClosesWaitingConnectionsAtTheLimit, Fixture)
 {
     options.maxConnections = 8;
     RunningServer server(options);
-    RawCaller waiting(Here);
+    RawCaller waiting(ServerEndpoint);
     waiting.send(get("/wait"));
     BOOST_TEST(server.waitUntil([](HttpServer &it) { return it.requestsInFlight() == 1; }));
     std::vector<std::unique_ptr<RawCaller>> silent;
     for (int i = 0; i < 100; ++i) {
-        silent.push_back(std::make_unique<RawCaller>(Here));
+        silent.push_back(std::make_unique<RawCaller>(ServerEndpoint));
         silent.back()->send(i % 2 == 0 ? "" : "GET /");
     }
-    checkServes(Here);
+    checkServes(ServerEndpoint);
     BOOST_TEST(server.ask([](HttpServer &it) { return it.connections(); }) <= 8U);
     release = true;
     BOOST_TEST(!waiting.readTo("/wait||h").empty());
 }
 
-// A caller closes its connection while its call runs. The handler must learn
-// of it, or the target goes on with work that nobody waits for and a slot
-// stays taken. Requests sent ahead don't hide the close.
+// A caller closes its connection while its call runs. The handler must be notified, or the target
+// continues work that nobody waits for and keeps a slot occupied. Pipelined requests must not hide
+// the close.
 BOOST_FIXTURE_TEST_CASE(CancelsTheHandlerWhenTheCallerCloses, Fixture)
 {
     RunningServer server(options);
     for (int requests = 1; requests <= 3; ++requests) {
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         for (int i = 0; i < requests; ++i) {
             caller.send(get("/wait"));
         }
@@ -283,16 +282,16 @@
     BOOST_TEST(handled == 3);
 }
 
-// An operator lowers and raises the limits while callers are connected. A caller
-// that keeps within the present ones must be served, and one beyond them gets the
-// status that says which one it broke and never reaches the handler.
-BOOST_FIXTURE_TEST_CASE(HoldsCallersToThePresentLimits, Fixture)
+// An operator changes the limits while callers are connected. A request within the current limits must
+// be served; one beyond them gets the status for the limit that it exceeds and never reaches the
+// handler.
+BOOST_FIXTURE_TEST_CASE(AppliesChangedLimits, Fixture)
 {
     RunningServer server(options);
     const auto withField
         = [](std::size_t bytes) { return "POST /fine HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nX-Long: " + std::string(bytes, 'x') + "\r\n\r\nb"; };
     const auto statusFor = [&](std::size_t bytes) {
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         caller.send(withField(bytes));
         return statusOf(caller.readTo("\r\n\r\n"));
     };
@@ -303,13 +302,13 @@
     });
     BOOST_TEST(statusFor(20'000) == 200);
     BOOST_TEST(statusFor(40'000) == 431);
-    RawCaller large(Here);
+    RawCaller large(ServerEndpoint);
     large.send("POST /fine HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n");
     BOOST_TEST(statusOf(large.readTo("\r\n\r\n")) == 413);
-    RawCaller slow(Here);
+    RawCaller slow(ServerEndpoint);
     slow.send("GET /fine HT");
     BOOST_TEST(statusOf(slow.readToEnd().value_or("")) == 408);
-    RawCaller idle(Here);
+    RawCaller idle(ServerEndpoint);
     idle.send(get("/fine"));
     BOOST_TEST(idle.readToEnd().has_value());
     BOOST_TEST(handled == 2);
--- a/autotests/unit/jsonsplicetest.cpp
+++ b/autotests/unit/jsonsplicetest.cpp
@@ -15,7 +15,7 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(TakesTablesOutAsTheyAreWritten)
+BOOST_AUTO_TEST_CASE(ExtractsObjectsVerbatim)
 {
     const auto spliced = splice(R"({"items":[{"name":"a", "content": {"x" : 1.50, "y":[{}]} },{"content":{},"name":"b"}],"more":false})");
     BOOST_TEST(spliced.rest == R"({"items":[{"name":"a", "content": 0 },{"content":1,"name":"b"}],"more":false})");
@@ -24,9 +24,9 @@
     BOOST_TEST(spliced.parts[1] == "{}");
 }
 
-// A writer's own text may hold the key, brackets in strings, or the key with
-// something else than a table. None of them may end a part early or add one.
-BOOST_AUTO_TEST_CASE(IsNotMisledByWhatStandsInside)
+// The text may contain the key inside a part or in a string, brackets in strings, or the key with a
+// value that isn't an object. None of these may end a part early or add one.
+BOOST_AUTO_TEST_CASE(IgnoresKeysAndBracketsInsideParts)
 {
     const auto nested = splice(R"({"content":{"content":{"b":"}\"{"},"list":[{"content":{}}]},"other":{"content":null},"last":["content",{"c":1}]})");
     BOOST_REQUIRE(nested.parts.size() == 1U);
@@ -37,7 +37,7 @@
     BOOST_TEST(escaped.parts[0] == R"({"a":"é"})");
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatIsNoJson)
+BOOST_AUTO_TEST_CASE(RejectsInvalidJson)
 {
     for (const std::string text : {"", "{", R"({"content":{)", R"({"content":{}}})", "{\"content\":{\"a\":\xff}}", R"({"content":{"a":1,}})"}) {
         BOOST_TEST(!spliceOut(text, "content").has_value(), text);
--- a/autotests/unit/requestlinetest.cpp
+++ b/autotests/unit/requestlinetest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-const Endpoint Here{testAddress(9), 18090};
+const Endpoint ServerEndpoint{testAddress(9), 18090};
 
-// A server whose handler holds requests below /held until it is told to let them go,
-// and counts what it began.
+// A server whose handler delays requests below /held until they are released, and counts the requests
+// that it has begun.
 struct Fixture
 {
     std::atomic<int> begun = 0;
     std::atomic<int> cancelled = 0;
     std::atomic<bool> release = false;
-    HttpServer::Options options{.endpoint = Here,
+    HttpServer::Options options{.endpoint = ServerEndpoint,
         .handler = [this](HttpRequest request, ServerConnection &connection) { return handle(std::move(request), connection); },
         .mayRunAhead = [](const HttpRequest &request) { return request.method() == http::verb::get; }};
 
@@ -25,16 +25,16 @@
     {
         ++begun;
         asio::steady_timer timer(co_await asio::this_coro::executor);
-        const bool held = request.target().starts_with("/held");
-        while (held && !release && !connection.cancellation().cancelled()) {
+        const bool delayed = request.target().starts_with("/held");
+        while (delayed && !release && !connection.cancellation().cancelled()) {
             timer.expires_after(Milliseconds(2));
             co_await timer.async_wait(asio::use_awaitable);
         }
         cancelled += connection.cancellation().cancelled() ? 1 : 0;
-        co_return makeResponse(http::status::ok, "text/plain", answerTo(request));
+        co_return makeResponse(http::status::ok, "text/plain", responseTo(request));
     }
 
-    static std::string answerTo(const HttpRequest &request)
+    static std::string responseTo(const HttpRequest &request)
     {
         return "<" + std::string(request.method_string()) + " " + std::string(request.target()) + " " + request.body() + ">";
     }
@@ -64,17 +64,17 @@
     return "POST " + target + " HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + std::to_string(body.size()) + "\r\n" + body + "\r\n0\r\n\r\n";
 }
 
-// Time in which a request that must not begin would have begun.
-constexpr Milliseconds Pause{250};
+// Time within which a request that must not begin would have begun.
+constexpr Milliseconds ObservationTime{250};
 
 }
 
-// A caller asks for three things at once, and the first takes long. All three
-// run; the answers come in the order of the requests.
-BOOST_FIXTURE_TEST_CASE(RunsAheadAndAnswersInOrder, Fixture)
+// A caller pipelines three requests, and the first takes long. All three run; the responses arrive in the
+// order of the requests.
+BOOST_FIXTURE_TEST_CASE(RunsPipelinedRequestsAndRespondsInOrder, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1") + get("/2") + get("/3"));
     BOOST_TEST(waitForBegun(3));
     release = true;
@@ -86,11 +86,11 @@
     BOOST_TEST(server.ask([](HttpServer &it) { return it.requestsInFlight(); }) == 0U);
 }
 
-// The further requests come one by one while the first is handled.
-BOOST_FIXTURE_TEST_CASE(TakesRequestsThatComeLater, Fixture)
+// Further requests arrive one by one while the first is being handled.
+BOOST_FIXTURE_TEST_CASE(ReadsRequestsThatArriveLater, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1"));
     BOOST_TEST(waitForBegun(1));
     caller.send(get("/held/2"));
@@ -103,16 +103,16 @@
     BOOST_TEST(!caller.readTo("<GET /held/3 >").empty());
 }
 
-// An order is sent behind a query that takes long. Were it run at once, and the
-// query's answer closed the connection, the caller would take the order for unread
-// and send it again: it would run twice.
-BOOST_FIXTURE_TEST_CASE(AnOrderWaitsForTheAnswersBeforeIt, Fixture)
+// A non-idempotent request is pipelined after a slow query. If it ran immediately and the query's
+// response closed the connection, the caller would assume that it wasn't read and send it again, so
+// that it would run twice.
+BOOST_FIXTURE_TEST_CASE(NonIdempotentRequestWaitsForEarlierResponses, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1") + post("/order", "one") + get("/2"));
     BOOST_TEST(waitForBegun(1));
-    std::this_thread::sleep_for(Pause);
+    std::this_thread::sleep_for(ObservationTime);
     BOOST_TEST(begun == 1);
     release = true;
     BOOST_TEST(!caller.readTo("<GET /held/1 >").empty());
@@ -120,12 +120,12 @@
     BOOST_TEST(!caller.readTo("<GET /2 >").empty());
 }
 
-// The second request can't be read. The caller gets the whole first answer, then
-// 400, and the connection ends: nothing behind it can be told apart.
-BOOST_FIXTURE_TEST_CASE(AMalformedRequestCostsNoAnswerBeforeIt, Fixture)
+// The second request is malformed. The caller gets the complete first response, then 400, and the
+// connection is closed, since the start of the next request is unknown.
+BOOST_FIXTURE_TEST_CASE(RespondsBeforeAMalformedRequest, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1") + "NO REQUEST\r\n\r\n" + get("/3"));
     BOOST_TEST(waitForBegun(1));
     std::this_thread::sleep_for(Milliseconds(20));
@@ -137,30 +137,29 @@
     BOOST_TEST(begun == 1);
 }
 
-// The caller says that it closes with the first request; what it sent behind is
-// neither read nor run.
-BOOST_FIXTURE_TEST_CASE(NothingRunsBehindAClose, Fixture)
+// The first request says Connection: close; requests after it are neither read nor run.
+BOOST_FIXTURE_TEST_CASE(RunsNothingAfterConnectionClose, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1", "Connection: close\r\n") + get("/2") + post("/order", "one"));
     BOOST_TEST(waitForBegun(1));
-    std::this_thread::sleep_for(Pause);
+    std::this_thread::sleep_for(ObservationTime);
     release = true;
-    const auto answers = caller.readToEnd();
-    BOOST_REQUIRE(answers.has_value());
-    BOOST_TEST(answers->find("Connection: close") != std::string::npos);
-    BOOST_TEST(answers->find("<GET /held/1 >") != std::string::npos);
-    BOOST_TEST(answers->find("/2") == std::string::npos);
+    const auto responses = caller.readToEnd();
+    BOOST_REQUIRE(responses.has_value());
+    BOOST_TEST(responses->find("Connection: close") != std::string::npos);
+    BOOST_TEST(responses->find("<GET /held/1 >") != std::string::npos);
+    BOOST_TEST(responses->find("/2") == std::string::npos);
     BOOST_TEST(begun == 1);
 }
 
-// The server stops while two requests run on a connection and a third waits. Both
-// are answered, the second says that the connection ends, the third never runs.
-BOOST_FIXTURE_TEST_CASE(AStopAnswersWhatRuns, Fixture)
+// The server drains while two requests run on a connection and a third waits. Both get responses, the
+// second with Connection: close, and the third never runs.
+BOOST_FIXTURE_TEST_CASE(RespondsToRunningRequestsWhileDraining, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     caller.send(get("/held/1") + get("/held/2") + post("/order", "one"));
     BOOST_TEST(waitForBegun(2));
     server.ask([](HttpServer &it) {
@@ -168,22 +167,21 @@
         return 0;
     });
     release = true;
-    const auto answers = caller.readToEnd();
-    BOOST_REQUIRE(answers.has_value());
-    const auto second = answers->find("<GET /held/2 >");
-    BOOST_TEST(answers->find("<GET /held/1 >") < second);
+    const auto responses = caller.readToEnd();
+    BOOST_REQUIRE(responses.has_value());
+    const auto second = responses->find("<GET /held/2 >");
+    BOOST_TEST(responses->find("<GET /held/1 >") < second);
     BOOST_TEST(second != std::string::npos);
-    BOOST_TEST(answers->rfind("Connection: close", second) > answers->find("<GET /held/1 >"));
+    BOOST_TEST(responses->rfind("Connection: close", second) > responses->find("<GET /held/1 >"));
     BOOST_TEST(begun == 2);
 }
 
-// The caller goes away with three requests running: all of them are told, so that
-// their targets stop.
-BOOST_FIXTURE_TEST_CASE(ACallerThatLeavesCancelsAll, Fixture)
+// The caller disconnects while three requests run. All of them are cancelled, so that their targets stop.
+BOOST_FIXTURE_TEST_CASE(CancelsAllRequestsWhenTheCallerDisconnects, Fixture)
 {
     RunningServer server(options);
     {
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         caller.send(get("/held/1") + get("/held/2") + get("/held/3"));
         BOOST_TEST(waitForBegun(3));
         caller.close();
@@ -191,19 +189,18 @@
     BOOST_TEST(server.waitUntil([&](HttpServer &it) { return cancelled == 3 && it.connections() == 0; }));
 }
 
-// A caller sends a hundred requests without waiting. A bounded number runs; none is
-// lost.
-BOOST_FIXTURE_TEST_CASE(ABoundedNumberIsInLine, Fixture)
+// A caller pipelines a hundred requests. A limited number runs at a time, and none is lost.
+BOOST_FIXTURE_TEST_CASE(LimitsPipelinedRequests, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(Here);
+    RawCaller caller(ServerEndpoint);
     std::string requests;
     for (int i = 0; i < 100; ++i) {
         requests += get("/held/" + std::to_string(i));
     }
     caller.send(requests);
     BOOST_TEST(waitForBegun(2));
-    std::this_thread::sleep_for(Pause);
+    std::this_thread::sleep_for(ObservationTime);
     BOOST_TEST(begun <= 16);
     release = true;
     for (int i = 0; i < 100; ++i) {
@@ -211,52 +208,52 @@
     }
 }
 
-// Two parts of a caller's bytes arrive apart from each other, wherever they are
-// split: same answers, same order, no byte of one request in another.
-BOOST_FIXTURE_TEST_CASE(SplitAnywhereTheAnswersAreTheSame, Fixture)
+// The caller's bytes arrive in two parts, split at every possible position. The responses and their order
+// stay the same, and no byte of one request ends up in another.
+BOOST_FIXTURE_TEST_CASE(RespondsTheSameForAnySplit, Fixture)
 {
     RunningServer server(options);
     const auto requests = get("/1") + get("/2") + post("/3", "three") + postChunked("/4", "four") + get("/5");
     for (std::size_t split = 1; split < requests.size(); ++split) {
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         caller.send(requests.substr(0, split));
         std::this_thread::sleep_for(Milliseconds(1));
         caller.send(requests.substr(split));
-        for (const std::string answer : {"<GET /1 >", "<GET /2 >", "<POST /3 three>", "<POST /4 four>", "<GET /5 >"}) {
-            BOOST_REQUIRE_MESSAGE(caller.readTo(answer).find('<') != std::string::npos, answer << " with a split at " << split);
+        for (const std::string response : {"<GET /1 >", "<GET /2 >", "<POST /3 three>", "<POST /4 four>", "<GET /5 >"}) {
+            BOOST_REQUIRE_MESSAGE(caller.readTo(response).find('<') != std::string::npos, response << " with a split at " << split);
         }
     }
 }
 
-// Random requests in line, cut into random parts, with a malformed one at the end of
-// some: every one before it is answered in order.
-BOOST_FIXTURE_TEST_CASE(RandomLinesKeepTheirOrder, Fixture)
+// Random pipelined requests, split into random parts, sometimes with a malformed one at the end. All
+// requests before it get responses in order.
+BOOST_FIXTURE_TEST_CASE(RandomPipelinesKeepTheirOrder, Fixture)
 {
     RunningServer server(options);
-    std::mt19937 random(20); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same lines in each run
+    std::mt19937 random(20); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same requests in each run
     const auto below = [&](std::size_t bound) { return random() % bound; };
     for (int round = 0; round < 60; ++round) {
         std::string requests;
-        std::vector<std::string> answers;
+        std::vector<std::string> responses;
         const auto count = 1 + below(12);
         for (std::size_t i = 0; i < count; ++i) {
             const auto target = "/" + std::to_string(i);
             const std::string body(below(200), 'b');
             const auto kind = below(4);
             requests += kind == 0 ? post(target, body) : get(target);
-            answers.push_back(kind == 0 ? fmt::format("<POST {} {}>", target, body) : fmt::format("<GET {} >", target));
+            responses.push_back(kind == 0 ? fmt::format("<POST {} {}>", target, body) : fmt::format("<GET {} >", target));
         }
         const bool malformed = below(3) == 0;
         requests += malformed ? "GET / HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n" : "";
-        RawCaller caller(Here);
+        RawCaller caller(ServerEndpoint);
         for (std::size_t sent = 0; sent < requests.size();) {
             const auto part = 1 + below(300);
             caller.send(requests.substr(sent, part));
             sent += part;
         }
-        for (const auto &answer : answers) {
-            const auto text = caller.readTo(answer);
-            BOOST_REQUIRE_MESSAGE(!text.empty() && text.find('<') == text.size() - answer.size(), answer << " in round " << round);
+        for (const auto &response : responses) {
+            const auto text = caller.readTo(response);
+            BOOST_REQUIRE_MESSAGE(!text.empty() && text.find('<') == text.size() - response.size(), response << " in round " << round);
         }
         if (malformed) {
             BOOST_TEST(caller.readToEnd().value_or("").substr(0, 12) == "HTTP/1.1 400");
--- a/autotests/unit/rpcservertest.cpp
+++ b/autotests/unit/rpcservertest.cpp
@@ -17,19 +17,19 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(CarriesResultsAndErrorKinds)
+BOOST_AUTO_TEST_CASE(ReturnsResultsAndErrorKinds)
 {
     auto rpc = server();
     BOOST_TEST(rpc.handle(Request).find(R"("result":{"text":"a"})") != std::string::npos);
-    auto refused = Request;
-    refused.replace(refused.find("echo"), 4, "refuse");
-    BOOST_TEST(rpc.handle(refused).find(std::to_string(rpcErrorCode(ErrorKind::Conflict))) != std::string::npos);
+    auto failingRequest = Request;
+    failingRequest.replace(failingRequest.find("echo"), 4, "refuse");
+    BOOST_TEST(rpc.handle(failingRequest).find(std::to_string(rpcErrorCode(ErrorKind::Conflict))) != std::string::npos);
     BOOST_TEST((rpcErrorKind(rpcErrorCode(ErrorKind::Corrupt)) == ErrorKind::Corrupt));
     BOOST_TEST((rpcErrorKind(-32601) == ErrorKind::Unavailable));
 }
 
-// Anything may be posted to the control port. What isn't a request must get an
-// error back, and must not end the node by an exception or a deep recursion.
+// Anything may be posted to the control port. Invalid input must get an error response, and must not
+// crash the node by an exception or deep recursion.
 BOOST_AUTO_TEST_CASE(SurvivesDamagedRequests)
 {
     auto rpc = server();
--- a/src/adapters/codec/binarycodec.cpp
+++ b/src/adapters/codec/binarycodec.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// Above every kind of gossip message, whose first byte is its kind.
-constexpr char LoadReportMark = 'L';
-constexpr char RolloutReportMark = 'R';
+// First byte of these reports. A gossip message begins with its kind, which is always smaller.
+constexpr char LoadReportType = 'L';
+constexpr char RolloutReportType = 'R';
 
-bool hasMark(const std::string &bytes, char mark)
+bool hasType(const std::string &bytes, char type)
 {
-    return !bytes.empty() && bytes.front() == mark;
+    return !bytes.empty() && bytes.front() == type;
 }
 
 template <typename Value>
@@ -22,8 +22,7 @@
 {
     std::vector<char> buffer;
     caf::binary_serializer sink(static_cast<caf::execution_unit *>(nullptr), buffer);
-    // Writing to memory can't fail; the serializer takes its argument by
-    // mutable reference though it only reads.
+    // Writing to memory can't fail. The serializer takes a mutable reference, but only reads.
     const auto ignored = sink(const_cast<Value &>(value));
     (void)ignored;
     return {buffer.begin(), buffer.end()};
@@ -35,10 +34,10 @@
     Value value;
     caf::binary_deserializer source(nullptr, bytes.data(), bytes.size());
     if (source(value)) {
-        return failure(ErrorKind::Corrupt, std::string(what) + " doesn't decode; check that all nodes run the same version");
+        return failure(ErrorKind::Corrupt, std::string(what) + " can't be decoded; check that all nodes run the same version");
     }
     if (source.remaining() != 0) {
-        return failure(ErrorKind::Corrupt, std::string(what) + " has bytes left over; check that all nodes run the same version");
+        return failure(ErrorKind::Corrupt, std::string(what) + " has unexpected trailing bytes; check that all nodes run the same version");
     }
     return value;
 }
@@ -61,36 +60,36 @@
 
 std::string encode(const LoadReport &report)
 {
-    return LoadReportMark + encodeValue(report);
+    return LoadReportType + encodeValue(report);
 }
 
 bool isLoadReport(const std::string &bytes)
 {
-    return hasMark(bytes, LoadReportMark);
+    return hasType(bytes, LoadReportType);
 }
 
 Result<LoadReport> decodeLoadReport(const std::string &bytes)
 {
     if (!isLoadReport(bytes)) {
-        return failure(ErrorKind::Corrupt, "load report without its mark; check that all nodes run the same version");
+        return failure(ErrorKind::Corrupt, "load report has an unexpected type byte; check that all nodes run the same version");
     }
     return decodeValue<LoadReport>(bytes.substr(1), "load report");
 }
 
 std::string encode(const RolloutReport &report)
 {
-    return RolloutReportMark + encodeValue(report);
+    return RolloutReportType + encodeValue(report);
 }
 
 bool isRolloutReport(const std::string &bytes)
 {
-    return hasMark(bytes, RolloutReportMark);
+    return hasType(bytes, RolloutReportType);
 }
 
 Result<RolloutReport> decodeRolloutReport(const std::string &bytes)
 {
     if (!isRolloutReport(bytes)) {
-        return failure(ErrorKind::Corrupt, "rollout report without its mark; check that all nodes run the same version");
+        return failure(ErrorKind::Corrupt, "rollout report has an unexpected type byte; check that all nodes run the same version");
     }
     return decodeValue<RolloutReport>(bytes.substr(1), "rollout report");
 }
--- a/src/adapters/codec/binarycodec.h
+++ b/src/adapters/codec/binarycodec.h
@@ -11,17 +11,17 @@
 
 namespace Galenahill {
 
-// CAF's binary serialization of the messages between nodes. Decoding refuses
-// input that is short, over-long or has bytes left over, with Corrupt.
+// CAF's binary serialization of the messages between nodes. Decoding fails with Corrupt if the
+// input is truncated, invalid or followed by further bytes.
 std::string encode(const GossipMessage &message);
 Result<GossipMessage> decodeGossip(const std::string &bytes);
 
-// Load reports share the port of gossip; the first byte tells them apart.
+// Load reports are sent to the gossip port; the first byte distinguishes them from gossip.
 std::string encode(const LoadReport &report);
 bool isLoadReport(const std::string &bytes);
 Result<LoadReport> decodeLoadReport(const std::string &bytes);
 
-// So do reports of rollouts.
+// Rollout reports are sent to the gossip port as well, with another first byte.
 std::string encode(const RolloutReport &report);
 bool isRolloutReport(const std::string &bytes);
 Result<RolloutReport> decodeRolloutReport(const std::string &bytes);
--- a/src/adapters/codec/deltabases.cpp
+++ b/src/adapters/codec/deltabases.cpp
@@ -6,15 +6,15 @@
 
 namespace Galenahill {
 
-DeltaBases::DeltaBases(std::size_t maxHeld)
-    : m_maxHeld(maxHeld)
+DeltaBases::DeltaBases(std::size_t maxTexts)
+    : m_maxTexts(maxTexts)
 {
 }
 
 void DeltaBases::add(const ContentHash &digest, const std::string &text)
 {
     m_bases.push_front({digest, compressDelta(text, std::string())});
-    if (m_bases.size() > m_maxHeld) {
+    if (m_bases.size() > m_maxTexts) {
         m_bases.pop_back();
     }
 }
--- a/src/adapters/codec/deltabases.h
+++ b/src/adapters/codec/deltabases.h
@@ -9,22 +9,21 @@
 
 namespace Galenahill {
 
-// The last few texts as bases for deltas, compressed. Held as they are, a base
-// of 1,600 routes takes a quarter of a megabyte, and as a whole revision with its
-// snapshot nearly one; compressed it is a few per cent of that.
+// The most recent texts, stored compressed as bases for deltas. Uncompressed, the text of 1,600
+// routes takes a quarter of a megabyte, and its revision with the parsed snapshot nearly one;
+// compressed, it takes a few per cent of that.
 class DeltaBases
 {
 public:
-    // Holds up to so many texts.
-    explicit DeltaBases(std::size_t maxHeld);
+    explicit DeltaBases(std::size_t maxTexts);
 
-    // Takes the text of that digest, and drops the oldest beyond the bound.
+    // Adds the text with that digest, and removes the oldest one beyond the limit.
     void add(const ContentHash &digest, const std::string &text);
 
-    // The text of that digest; nothing if it isn't held any more.
+    // The text with that digest; nothing if it isn't stored any more.
     std::optional<std::string> find(const ContentHash &digest) const;
 
-    // Bytes that are held.
+    // Memory used by the compressed texts.
     std::size_t bytes() const;
 
 private:
@@ -34,7 +33,7 @@
         std::string compressed;
     };
 
-    std::size_t m_maxHeld;
+    std::size_t m_maxTexts;
     // Newest first.
     std::deque<Base> m_bases;
 };
--- a/src/adapters/codec/jsonfields.h
+++ b/src/adapters/codec/jsonfields.h
@@ -10,20 +10,20 @@
 
 namespace Galenahill {
 
-// Fields of JSON documents that other programs write. A field that is missing or
-// null gives the fallback; one of another type throws std::exception.
+// Reading fields of JSON documents that other programs write. A missing or null field gives the
+// fallback; a field of the wrong type throws std::exception.
 
-// A whole number that isn't negative; throws if it is missing, or has a fraction,
-// which the library would cut.
+// A non-negative integer; throws if the field is missing or has a fraction, which the library would
+// truncate.
 std::uint64_t wholeNumber(const nlohmann::json &json, const char *name);
 
 std::uint32_t countOr(const nlohmann::json &json, const char *name, std::uint32_t fallback);
 
-// A time written in seconds, with fractions.
+// A time in seconds, possibly with a fraction.
 Milliseconds secondsOr(const nlohmann::json &json, const char *name, Milliseconds fallback);
 
-// What the decoder gives; an error of that kind if it throws. The message has a {} for
-// what was wrong.
+// The decoder's result; an error of that kind if it throws. The message has a {} for the text of the
+// exception.
 template <typename Decoder>
 auto decodeJson(ErrorKind kind, std::string_view message, Decoder decoder) -> Result<decltype(decoder())>
 {
--- a/src/adapters/codec/jsonsplice.cpp
+++ b/src/adapters/codec/jsonsplice.cpp
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// A place in a text that others can ask how far the reading has come.
+// An iterator over a text that publishes how far the parser has read.
 class TrackedIterator
 {
 public:
@@ -19,9 +19,9 @@
     using pointer = const char *;
     using reference = const char &;
 
-    TrackedIterator(const char *at, const char **reached)
+    TrackedIterator(const char *at, const char **position)
         : m_at(at)
-        , m_reached(reached)
+        , m_position(position)
     {
     }
 
@@ -32,7 +32,7 @@
 
     TrackedIterator &operator++()
     {
-        *m_reached = ++m_at;
+        *m_position = ++m_at;
         return *this;
     }
 
@@ -43,12 +43,12 @@
 
 private:
     const char *m_at;
-    const char **m_reached;
+    const char **m_position;
 };
 
-// Notes where the tables under one key begin and end. The parser reads a bracket
-// without looking ahead, so that the place reached is just behind it.
-class TableFinder : public nlohmann::json_sax<Json>
+// Records where the objects under one key begin and end. The parser reads a bracket without looking
+// ahead, so the published position is just after it.
+class ObjectFinder : public nlohmann::json_sax<Json>
 {
 public:
     struct Range
@@ -57,21 +57,21 @@
         const char *end;
     };
 
-    TableFinder(std::string_view key, const char *const *reached)
+    ObjectFinder(std::string_view key, const char *const *position)
         : m_key(key)
-        , m_reached(reached)
+        , m_position(position)
     {
     }
 
     std::vector<Range> found;
-    std::string fault;
+    std::string errorText;
 
     bool start_object(std::size_t) override
     {
         ++m_depth;
-        if (m_tableDepth == 0 && m_underKey) {
-            m_tableDepth = m_depth;
-            found.push_back({*m_reached - 1, nullptr});
+        if (m_objectDepth == 0 && m_underKey) {
+            m_objectDepth = m_depth;
+            found.push_back({*m_position - 1, nullptr});
         }
         m_underKey = false;
         return true;
@@ -79,9 +79,9 @@
 
     bool end_object() override
     {
-        if (m_depth == m_tableDepth) {
-            found.back().end = *m_reached;
-            m_tableDepth = 0;
+        if (m_depth == m_objectDepth) {
+            found.back().end = *m_position;
+            m_objectDepth = 0;
         }
         --m_depth;
         return true;
@@ -101,7 +101,7 @@
 
     bool parse_error(std::size_t, const std::string &, const nlohmann::detail::exception &error) override
     {
-        fault = error.what();
+        errorText = error.what();
         return false;
     }
 
@@ -118,10 +118,10 @@
 
 private:
     std::string_view m_key;
-    const char *const *m_reached;
+    const char *const *m_position;
     std::size_t m_depth = 0;
-    // Depth of the table that is being passed over; zero outside.
-    std::size_t m_tableDepth = 0;
+    // Depth of the object that is being skipped; zero outside.
+    std::size_t m_objectDepth = 0;
     bool m_underKey = false;
 };
 
@@ -129,11 +129,11 @@
 
 Result<SplicedJson> spliceOut(const std::string &text, std::string_view key)
 {
-    const char *reached = text.data();
-    TableFinder finder(key, &reached);
+    const char *position = text.data();
+    ObjectFinder finder(key, &position);
     const auto *end = text.data() + text.size();
-    if (!Json::sax_parse(TrackedIterator(text.data(), &reached), TrackedIterator(end, &reached), &finder)) {
-        return failure(ErrorKind::Corrupt, finder.fault);
+    if (!Json::sax_parse(TrackedIterator(text.data(), &position), TrackedIterator(end, &position), &finder)) {
+        return failure(ErrorKind::Corrupt, finder.errorText);
     }
     SplicedJson result;
     const auto *at = text.data();
--- a/src/adapters/codec/jsonsplice.h
+++ b/src/adapters/codec/jsonsplice.h
@@ -9,22 +9,22 @@
 
 namespace Galenahill {
 
-// A JSON text with some of its values taken out.
+// A JSON text with some of its values extracted.
 struct SplicedJson
 {
-    // What is left; in the place of each value stands its index in `parts`.
+    // The remaining text, with the index into `parts` in place of each extracted value.
     std::string rest;
     std::vector<std::string> parts;
 };
 
-// Takes the tables that stand under that key out of a JSON text, as they are
-// written there. A text of several hundred kilobytes that is only passed on
-// needn't become a tree, which takes eight times its size at a node's peak.
+// Extracts the objects under that key from a JSON text, verbatim. A text of several hundred
+// kilobytes that is only passed on thus needn't be parsed into a tree, which takes eight times its
+// size at a node's peak.
 //
 // Errors: Corrupt if the text isn't JSON.
 Result<SplicedJson> spliceOut(const std::string &text, std::string_view key);
 
-// The same, with what is left as a tree.
+// The same, with the remaining text parsed.
 struct SplicedDocument
 {
     nlohmann::json json;
--- a/src/adapters/http/asio.h
+++ b/src/adapters/http/asio.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Boost 1.74's awaitable.hpp uses std::exchange without including <utility>,
-// so this header stands before every use of Asio.
+// Boost 1.74's awaitable.hpp uses std::exchange without including <utility>, so this header must be
+// included before any other header of Asio.
 #include <utility>
 
 #include <boost/asio/awaitable.hpp>
--- a/src/adapters/http/blockinghttpclient.cpp
+++ b/src/adapters/http/blockinghttpclient.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// How often a blocked exchange looks whether it should stop.
+// How often a blocked exchange checks whether it should stop.
 constexpr Milliseconds StopCheckInterval{100};
 
 asio::awaitable<void> exchangeInto(HttpClient &client, Endpoint endpoint, HttpRequest request, TimePoint deadline, std::optional<Result<HttpResponse>> &result)
--- a/src/adapters/http/blockinghttpclient.h
+++ b/src/adapters/http/blockinghttpclient.h
@@ -9,9 +9,9 @@
 
 namespace Galenahill {
 
-// One HTTP exchange that blocks the calling thread, for code that runs on a
-// thread of its own. Errors are those of HttpClient::exchange. `stop`, when
-// given, ends the wait early.
+// Performs one HTTP exchange and blocks the calling thread meanwhile, for code that runs on a
+// thread of its own. Errors are those of HttpClient::exchange. If `stop` is given, the wait
+// ends early once it becomes true.
 Result<HttpResponse> blockingExchange(const Endpoint &endpoint, HttpRequest request, Milliseconds timeLimit, const std::atomic<bool> *stop = nullptr);
 
 }
--- a/src/adapters/http/bodysource.h
+++ b/src/adapters/http/bodysource.h
@@ -8,24 +8,23 @@
 
 namespace Galenahill {
 
-// The rest of a body that is still arriving. Nothing is read from the network
-// until it is asked for, so a slow reader slows the sender down.
+// The rest of a message body that is still arriving. It is read from the network only on demand,
+// so that a slow reader slows down the sender.
 class BodySource
 {
 public:
     virtual ~BodySource() = default;
 
-    // Appends the next part, up to so many bytes. An error means that the
-    // body was cut off and the rest will never come.
+    // Appends the next part, up to `limit` bytes. An error means that the body is truncated.
     virtual asio::awaitable<ErrorCode> read(std::string &part, std::size_t limit) = 0;
 
-    // Whether the whole body has been read.
+    // Whether the body has been read to its end.
     virtual bool done() const = 0;
 
-    // Whether any part has been read.
+    // Whether reading has begun.
     virtual bool taken() const = 0;
 
-    // Length of the whole body, if the sender gave it.
+    // Length of the complete body, if the sender stated it.
     virtual std::optional<std::uint64_t> length() const = 0;
 };
 
--- a/src/adapters/http/cancellation.h
+++ b/src/adapters/http/cancellation.h
@@ -5,8 +5,8 @@
 
 namespace Galenahill {
 
-// Tells the work done for a caller that the caller has given it up. One hook
-// at a time; it is called once, at once if the caller is gone already.
+// Notifies an operation that its caller has cancelled it. There is one hook at a time; it is
+// called once, and immediately if the operation is already cancelled.
 class Cancellation
 {
 public:
--- a/src/adapters/http/clientexchange.cpp
+++ b/src/adapters/http/clientexchange.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr std::uint32_t MaxAnswerHeaderBytes = 16 * 1024;
+constexpr std::uint32_t MaxResponseHeaderBytes = 16 * 1024;
 constexpr std::size_t PartBytes = 64 * 1024;
 
-// Body above which a server is asked before it is sent. A round trip of a few
-// milliseconds costs less than 4 KB in vain on a link of 5 Mbit/s.
-constexpr std::size_t AskFirstBytes = 4096;
+// Larger bodies are sent only after 100 Continue, if the caller wants that. On a link of
+// 5 Mbit/s, a round trip of a few milliseconds costs less than sending 4 KB in vain.
+constexpr std::size_t ExpectContinueBytes = 4096;
 
-// Time for which the server keeps the idle connection, if it says so.
-Milliseconds keptByServer(const HttpResponse &response)
+// The time for which the server keeps the connection open when idle, from the Keep-Alive field.
+Milliseconds serverKeepAlive(const HttpResponse &response)
 {
     const auto field = response[http::field::keep_alive];
     const std::string_view text(field.data(), field.size());
@@ -46,19 +46,19 @@
 
 }
 
-// The rest of an answer's body. It owns the connection, which goes back to
-// the pool once the body has been read to its end and is closed otherwise.
-class ClientExchange::AnswerBody : public BodySource
+// The rest of a response's body. It owns the connection, which returns to the pool once the body
+// has been read to its end, and is closed otherwise.
+class ClientExchange::ResponseBody : public BodySource
 {
 public:
-    explicit AnswerBody(std::shared_ptr<ClientExchange> exchange)
+    explicit ResponseBody(std::shared_ptr<ClientExchange> exchange)
         : m_exchange(std::move(exchange))
     {
     }
 
     asio::awaitable<ErrorCode> read(std::string &part, std::size_t limit) override
     {
-        m_taken = true;
+        m_readStarted = true;
         auto &exchange = *m_exchange;
         exchange.m_connection->channel.deadline.set(Clock::now() + exchange.m_partTimeout);
         const auto error = co_await exchange.m_reader->readBody(part, limit);
@@ -76,7 +76,7 @@
 
     bool taken() const override
     {
-        return m_taken;
+        return m_readStarted;
     }
 
     std::optional<std::uint64_t> length() const override
@@ -86,7 +86,7 @@
 
 private:
     std::shared_ptr<ClientExchange> m_exchange;
-    bool m_taken = false;
+    bool m_readStarted = false;
 };
 
 ClientExchange::ClientExchange(std::shared_ptr<ConnectionPool> pool, std::unique_ptr<ClientConnection> connection, const HttpClient::Options &options)
@@ -111,120 +111,120 @@
     }
 }
 
-tl::unexpected<Error> ClientExchange::unknown(const std::string &what, const ErrorCode &error) const
+tl::unexpected<Error> ClientExchange::exchangeFailure(const std::string &what, const ErrorCode &error) const
 {
-    const auto reason = m_aborted ? "given up by the caller" : error.message();
+    const auto reason = m_aborted ? "cancelled by the caller" : error.message();
     return failure(
         m_sent ? ErrorKind::OutcomeUnknown : ErrorKind::Unavailable, fmt::format("{}: {}: {}", toString(m_connection->owner->endpoint), what, reason));
 }
 
-asio::awaitable<Result<HttpResponse>> ClientExchange::run(HttpRequest &request, TimePoint deadline, HttpClient::Companions companions)
+asio::awaitable<Result<HttpResponse>> ClientExchange::run(HttpRequest &request, TimePoint deadline, HttpClient::Companions exchangeOptions)
 {
     auto &channel = m_connection->channel;
     channel.deadline.set(deadline);
-    m_head = request.method() == http::verb::head;
-    const auto sendError = co_await send(request, companions);
-    // A connection that broke while the server was asked for the body holds no
-    // answer. Read on, an empty header would pass for a success once it ends.
-    if (sendError && !m_bodyWanted) {
-        co_return unknown("no answer", sendError);
+    m_isHead = request.method() == http::verb::head;
+    const auto sendError = co_await send(request, exchangeOptions);
+    // A connection that broke while 100 Continue was awaited carries no response. If reading
+    // continued, the empty header would pass for a success at the end of the connection.
+    if (sendError && !m_sendsBody) {
+        co_return exchangeFailure("no response", sendError);
     }
-    // A server that refuses may close before it has read everything; its
-    // answer is still worth reading.
-    m_cutShort = m_cutShort || sendError;
+    // A server that rejects the request may close the connection before it has read everything;
+    // its response can still be read.
+    m_notReusable = m_notReusable || sendError;
     if (sendError && (m_aborted || channel.deadline.passed() || !channel.readable())) {
-        co_return unknown("sending failed", sendError);
+        co_return exchangeFailure("sending the request failed", sendError);
     }
     ErrorCode error;
     if (!m_reader) {
         error = co_await readHeader(false);
     }
-    // A target that answers a request twice leaves the second answer where the
-    // next request on the connection expects its own.
-    while (!error && companions.belongs && !companions.belongs(m_reader->fields())) {
-        error = co_await dropAnswer();
+    // If a target responds to a request twice, the second response arrives where the next request
+    // on the connection expects its own.
+    while (!error && exchangeOptions.belongs && !exchangeOptions.belongs(m_reader->fields())) {
+        error = co_await discardResponse();
         if (!error) {
             error = co_await readHeader(false);
         }
     }
     if (error) {
-        co_return unknown("no answer", error);
+        co_return exchangeFailure("no response", error);
     }
     HttpResponse response(m_reader->takeHeader());
-    m_keptByServer = keptByServer(response);
-    error = co_await readBody(response, companions.answerBody != nullptr);
+    m_serverKeepAlive = serverKeepAlive(response);
+    error = co_await readBody(response, exchangeOptions.answerBody != nullptr);
     if (error) {
-        co_return unknown("no whole answer", error);
+        co_return exchangeFailure("the response is incomplete", error);
     }
     if (m_reader->done()) {
         finish();
     } else {
         channel.deadline.clear();
-        *companions.answerBody = std::make_unique<AnswerBody>(shared_from_this());
+        *exchangeOptions.answerBody = std::make_unique<ResponseBody>(shared_from_this());
     }
     co_return response;
 }
 
-asio::awaitable<ErrorCode> ClientExchange::send(HttpRequest &request, const HttpClient::Companions &companions)
+asio::awaitable<ErrorCode> ClientExchange::send(HttpRequest &request, const HttpClient::Companions &exchangeOptions)
 {
-    const bool streamed = companions.requestBody != nullptr;
-    const bool askFirst = companions.askFirst && (streamed || request.body().size() > AskFirstBytes);
+    const bool streamed = exchangeOptions.requestBody != nullptr;
+    const bool expectContinue = exchangeOptions.askFirst && (streamed || request.body().size() > ExpectContinueBytes);
     m_sent = true;
-    if (!streamed && !askFirst) {
+    if (!streamed && !expectContinue) {
         setLength(request);
         co_return co_await m_connection->channel.writeMessage(request);
     }
-    ErrorCode error = co_await sendHeader(request, companions, askFirst);
-    if (error || !m_bodyWanted) {
+    ErrorCode error = co_await sendHeader(request, exchangeOptions, expectContinue);
+    if (error || !m_sendsBody) {
         co_return error;
     }
-    // GCC 12 runs both sides of a conditional that awaits.
+    // GCC 12 evaluates both branches of a conditional expression that awaits.
     if (streamed) {
-        error = co_await sendBody(request, *companions.requestBody);
+        error = co_await sendBody(request, *exchangeOptions.requestBody);
     } else {
-        error = co_await sendHeldBody(request);
+        error = co_await sendBufferedBody(request);
     }
     co_return error;
 }
 
-// Sends the header, and reads whether the server wants the body if it is to be
-// asked. A final answer, such as a refusal, leaves the body unsent.
-asio::awaitable<ErrorCode> ClientExchange::sendHeader(HttpRequest &request, const HttpClient::Companions &companions, bool askFirst)
+// Sends the header, and waits for 100 Continue if the server is to be asked first. After a final
+// response, such as a rejection, the body isn't sent.
+asio::awaitable<ErrorCode> ClientExchange::sendHeader(HttpRequest &request, const HttpClient::Companions &exchangeOptions, bool expectContinue)
 {
     http::request<http::empty_body> header(request.base());
-    const auto length = companions.requestBody != nullptr ? companions.requestBody->length() : std::optional<std::uint64_t>(request.body().size());
+    const auto length = exchangeOptions.requestBody != nullptr ? exchangeOptions.requestBody->length() : std::optional<std::uint64_t>(request.body().size());
     if (length) {
         header.content_length(*length);
     } else {
         header.chunked(true);
     }
-    if (askFirst) {
+    if (expectContinue) {
         header.set(http::field::expect, "100-continue");
     }
     ErrorCode error = co_await m_connection->channel.writeHeader(header);
-    if (error || !askFirst) {
+    if (error || !expectContinue) {
         co_return error;
     }
     error = co_await readHeader(true);
     if (error) {
-        m_bodyWanted = false;
+        m_sendsBody = false;
         co_return error;
     }
-    m_bodyWanted = m_reader->status() == http::status::continue_;
-    if (m_bodyWanted) {
+    m_sendsBody = m_reader->status() == http::status::continue_;
+    if (m_sendsBody) {
         m_reader.reset();
     }
     co_return error;
 }
 
-asio::awaitable<ErrorCode> ClientExchange::sendHeldBody(const HttpRequest &request)
+asio::awaitable<ErrorCode> ClientExchange::sendBufferedBody(const HttpRequest &request)
 {
     const auto buffer = asio::buffer(request.body());
     co_return co_await m_connection->channel.write(buffer);
 }
 
-// An answer that comes before the body is sent ends the sending: the server
-// won't read on, and both sides would wait for each other.
+// Stops sending when a response arrives before the end of the body: the server may read no
+// further, and both sides would wait for each other.
 asio::awaitable<ErrorCode> ClientExchange::sendBody(HttpRequest &request, BodySource &rest)
 {
     auto &channel = m_connection->channel;
@@ -237,7 +237,7 @@
             continue;
         }
         if (channel.readable()) {
-            m_cutShort = true;
+            m_notReusable = true;
             co_return error;
         }
         const auto buffer = asio::buffer(part);
@@ -256,17 +256,17 @@
     co_return error;
 }
 
-// Reads up to the header of the final answer, or of 100 Continue if wanted.
-asio::awaitable<ErrorCode> ClientExchange::readHeader(bool toContinue)
+// Reads up to the header of the final response, or of 100 Continue if that is awaited.
+asio::awaitable<ErrorCode> ClientExchange::readHeader(bool untilContinue)
 {
     ErrorCode error;
     do {
-        m_reader.emplace(m_connection->channel, MaxAnswerHeaderBytes, m_maxBodyBytes);
-        if (m_head) {
+        m_reader.emplace(m_connection->channel, MaxResponseHeaderBytes, m_maxBodyBytes);
+        if (m_isHead) {
             m_reader->skipBody();
         }
         error = co_await m_reader->readHeader();
-    } while (!error && m_reader->status() < http::status::ok && !(toContinue && m_reader->status() == http::status::continue_));
+    } while (!error && m_reader->status() < http::status::ok && !(untilContinue && m_reader->status() == http::status::continue_));
     co_return error;
 }
 
@@ -275,8 +275,8 @@
     auto &reader = *m_reader;
     const auto length = reader.contentLength();
     auto &body = response.body();
-    // Grown step by step, a body of some hundred kilobytes would be held twice
-    // over for a moment.
+    // If the string grew step by step, a body of several hundred kilobytes would take twice its
+    // size for a moment.
     if (length) {
         body.reserve(std::min<std::uint64_t>(*length, streamed ? m_bufferedBodyBytes : m_maxBodyBytes));
     }
@@ -288,27 +288,26 @@
     co_return error;
 }
 
-// Reads the body of an answer to another request. Whether more of them follow
-// isn't known, so the connection isn't used again.
-asio::awaitable<ErrorCode> ClientExchange::dropAnswer()
+// Discards the body of a mismatched response. More of them may follow, so the connection isn't
+// used again.
+asio::awaitable<ErrorCode> ClientExchange::discardResponse()
 {
-    m_cutShort = true;
-    std::string dropped;
+    m_notReusable = true;
+    std::string discarded;
     ErrorCode error;
     while (!error && !m_reader->done()) {
-        dropped.clear();
-        error = co_await m_reader->readBody(dropped, ReadAheadBytes);
+        discarded.clear();
+        error = co_await m_reader->readBody(discarded, ReadAheadBytes);
     }
     co_return error;
 }
 
-// The connection carries another request only if nothing is left of this one
-// on either way.
+// Returns the connection to the pool if nothing of this request or its response is left on it.
 void ClientExchange::finish()
 {
-    const bool clean = m_reader->keepAlive() && m_connection->channel.buffer.size() == 0 && !m_cutShort && !m_aborted;
+    const bool clean = m_reader->keepAlive() && m_connection->channel.buffer.size() == 0 && !m_notReusable && !m_aborted;
     if (clean) {
-        m_pool->giveBack(std::move(m_connection), m_keptByServer);
+        m_pool->giveBack(std::move(m_connection), m_serverKeepAlive);
     }
     m_connection.reset();
 }
--- a/src/adapters/http/connectionpool.cpp
+++ b/src/adapters/http/connectionpool.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-// How late a call's time limit may strike.
+// How late a call's deadline may expire.
 constexpr Milliseconds SweepStep{5};
 
-// Share of the time for which a server keeps an idle connection that is made
-// use of: a request that crosses its closing is lost, and one that can't be
-// repeated fails. The rest is longer than any round trip.
-constexpr double KeptShare = 0.8;
+// Fraction of the server's keep-alive time during which an idle connection is reused. A request
+// that meets the server's close on its way is lost, and fails if it can't be retried. The rest of
+// the time is longer than any round trip.
+constexpr double KeepAliveFraction = 0.8;
 
-// An idle connection keeps its buffer for so long, in case it is used again at once.
+// An idle connection keeps its buffer for this time, since it may be reused soon.
 constexpr Milliseconds BufferIdleTime{500};
 
-// Endpoints without a connection are forgotten beyond so many, so that a
-// fleet whose addresses change doesn't grow this table for good.
+// Beyond this number, endpoints without a connection are removed, so that the table doesn't grow
+// without bound in a fleet whose addresses change.
 constexpr std::size_t MaxEndpoints = 4096;
 
 }
@@ -48,7 +48,7 @@
 {
 }
 
-// The idle connections and what is known of their endpoint hold each other.
+// Breaks the reference cycle between the entries and their idle connections.
 ConnectionPool::~ConnectionPool()
 {
     for (const auto &[endpoint, connections] : m_endpoints) {
@@ -78,13 +78,13 @@
 std::unique_ptr<ClientConnection> ConnectionPool::takeIdle(EndpointConnections &connections, Milliseconds maxIdle)
 {
     const auto now = Clock::now();
-    // The one used last is at the back; older ones wait for other requests.
+    // The most recently used connection is at the back.
     while (!connections.idle.empty() && now - connections.idle.back()->lastUsed <= maxIdle) {
         auto connection = std::move(connections.idle.back());
         connections.idle.pop_back();
-        // A connection that the server has closed, or on which something came
-        // unasked, must not carry a request: the first would make its outcome
-        // unknown for nothing, the second would give it another's answer.
+        // A connection that the server has closed, or on which unsolicited bytes arrived, must not be
+        // reused: in the first case the request's outcome would be unknown without need, in the
+        // second it would receive the response to another request.
         if (connection->usableUntil > now && !connection->channel.readable()) {
             m_sweeper.watch(connection->channel.deadline);
             return connection;
@@ -95,12 +95,13 @@
 
 asio::awaitable<Result<std::unique_ptr<ClientConnection>>> ConnectionPool::connect(std::shared_ptr<EndpointConnections> connections, TimePoint deadline)
 {
-    const auto where = toString(connections->endpoint);
+    const auto address = toString(connections->endpoint);
     if (!connections->valid) {
-        co_return failure(ErrorKind::Unavailable, where + ": is no IP number with a port; mend the address");
+        co_return failure(ErrorKind::Unavailable, address + ": not an IP address with a port; fix the address");
     }
     if (connections->open >= connections->limit) {
-        co_return failure(ErrorKind::Unavailable, fmt::format("{}: all {} connections to it are in use; try again later", where, connections->open));
+        co_return failure(
+            ErrorKind::Unavailable, fmt::format("{}: all {} connections to this endpoint are in use; try again later", address, connections->open));
     }
     auto connection = std::make_unique<ClientConnection>(Tcp::socket(m_context), m_bytes, connections);
     auto &channel = connection->channel;
@@ -109,8 +110,8 @@
     ErrorCode error;
     co_await channel.socket.async_connect(connections->address, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        const auto reason = channel.deadline.passed() ? "the time is up" : error.message();
-        co_return failure(ErrorKind::Unavailable, fmt::format("{}: can't connect: {}", where, reason));
+        const auto reason = channel.deadline.passed() ? "timed out" : error.message();
+        co_return failure(ErrorKind::Unavailable, fmt::format("{}: can't connect: {}", address, reason));
     }
     channel.prepare();
     if (m_options.unackedTimeout.count() > 0) {
@@ -122,15 +123,15 @@
     co_return connection;
 }
 
-void ConnectionPool::giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds keptByServer)
+void ConnectionPool::giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive)
 {
     auto &idle = connection->owner->idle;
     if (idle.size() >= m_options.maxIdlePerEndpoint) {
         return;
     }
-    const auto kept = std::chrono::duration<double, std::milli>(keptByServer) * KeptShare;
+    const auto keepAlive = std::chrono::duration<double, std::milli>(serverKeepAlive) * KeepAliveFraction;
     connection->lastUsed = Clock::now();
-    connection->usableUntil = connection->lastUsed + std::min(m_options.maxIdleAge, std::chrono::duration_cast<Milliseconds>(kept));
+    connection->usableUntil = connection->lastUsed + std::min(m_options.maxIdleAge, std::chrono::duration_cast<Milliseconds>(keepAlive));
     connection->channel.deadline.release();
     idle.push_back(std::move(connection));
 }
--- a/src/adapters/http/connectionpool.h
+++ b/src/adapters/http/connectionpool.h
@@ -10,7 +10,7 @@
 
 namespace Galenahill {
 
-// Connections to one endpoint: the idle ones, and the number of all.
+// The connections to one endpoint: the idle ones, and the number of all open ones.
 struct EndpointConnections
 {
     Endpoint endpoint;
@@ -21,7 +21,7 @@
     std::vector<std::unique_ptr<class ClientConnection>> idle;
 };
 
-// One connection of a client; counted at its endpoint while it exists.
+// One connection of a client; counted as open at its endpoint while it exists.
 class ClientConnection
 {
 public:
@@ -31,23 +31,22 @@
     TcpChannel channel;
     std::shared_ptr<EndpointConnections> owner;
     TimePoint lastUsed;
-    // Until when it may be used again.
+    // Time after which it must not be reused.
     TimePoint usableUntil;
 };
 
-// The connections of a client by endpoint. A connection is handed out to one
-// exchange at a time.
+// The connections of a client by endpoint. Each connection is used by one exchange at a time.
 class ConnectionPool
 {
 public:
     struct Options
     {
         std::size_t maxIdlePerEndpoint = 32;
-        // Connections to one endpoint that may be open at a time.
+        // Most connections to one endpoint, idle and in use.
         std::size_t maxPerEndpoint = 512;
         Milliseconds maxIdleAge{20000};
         Milliseconds connectTimeout{60000};
-        // Zero leaves it to the system.
+        // Zero uses the system's default.
         Milliseconds unackedTimeout{0};
         bool keepAliveProbes = false;
     };
@@ -55,24 +54,23 @@
     ConnectionPool(asio::io_context &context, Options options);
     ~ConnectionPool();
 
-    // What is known of the endpoint; its address is parsed once.
+    // The entry of the endpoint, created if needed; the address is parsed only once.
     std::shared_ptr<EndpointConnections> connectionsTo(const Endpoint &endpoint);
 
-    // An idle connection that is fit for use and was used within that time, or
-    // null.
+    // Takes a usable idle connection that was last used within that time; null if there is none.
     std::unique_ptr<ClientConnection> takeIdle(EndpointConnections &connections, Milliseconds maxIdle = std::chrono::hours(24));
 
-    // A new connection; Unavailable if none comes about by the deadline.
+    // Opens a connection; Unavailable if it isn't established by the deadline.
     asio::awaitable<Result<std::unique_ptr<ClientConnection>>> connect(std::shared_ptr<EndpointConnections> connections, TimePoint deadline);
 
-    // Keeps the connection for later use, unless enough are kept; not beyond
-    // the time for which the server says that it keeps it.
-    void giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds keptByServer = Milliseconds::max());
+    // Returns a connection for reuse, limited by the server's keep-alive time. Closes it if there
+    // are enough idle ones.
+    void giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive = Milliseconds::max());
 
     void closeIdle(const Endpoint &endpoint);
 
-    // Closes idle connections that may not be used any more, and frees the buffers
-    // of those that have been idle for a while. Cheap; call it about once a second.
+    // Closes expired idle connections, and frees the buffers of those that have been idle for a
+    // while. Cheap; to be called about once a second.
     void trimIdle();
 
     std::uint64_t bytes() const;
--- a/src/adapters/http/deadlinesweeper.cpp
+++ b/src/adapters/http/deadlinesweeper.cpp
@@ -18,10 +18,10 @@
     asio::steady_timer timer;
     Milliseconds step;
     List watched;
-    // When the timer strikes; the end of time while it doesn't run.
+    // When the timer fires; TimePoint::max() while it doesn't run.
     TimePoint next = TimePoint::max();
 
-    void needAt(TimePoint when);
+    void scheduleAt(TimePoint when);
     void sweep();
 };
 
@@ -41,12 +41,12 @@
         d->watched.push_back(deadline);
         deadline.m_sweeper = d;
     }
-    d->needAt(deadline.m_at);
+    d->scheduleAt(deadline.m_at);
 }
 
-// Makes the timer strike when that deadline is due, but not before a step is
-// over: deadlines that lie close together then share one wake-up.
-void DeadlineSweeper::Private::needAt(TimePoint when)
+// Schedules the timer for that deadline, but at least one step ahead, so that deadlines close
+// to each other share one wake-up.
+void DeadlineSweeper::Private::scheduleAt(TimePoint when)
 {
     if (when >= next || when == TimePoint::max()) {
         return;
@@ -64,19 +64,19 @@
 {
     const auto now = Clock::now();
     next = TimePoint::max();
-    auto nearest = TimePoint::max();
+    auto earliest = TimePoint::max();
     for (auto deadline = watched.begin(); deadline != watched.end();) {
-        auto &present = *deadline++;
-        if (present.m_at <= now) {
-            present.m_at = TimePoint::max();
-            present.m_passed = true;
-            present.expire();
+        auto &current = *deadline++;
+        if (current.m_at <= now) {
+            current.m_at = TimePoint::max();
+            current.m_passed = true;
+            current.expire();
         }
     }
     for (const auto &deadline : watched) {
-        nearest = std::min(nearest, deadline.m_at);
+        earliest = std::min(earliest, deadline.m_at);
     }
-    needAt(nearest);
+    scheduleAt(earliest);
 }
 
 Deadline::~Deadline()
@@ -103,7 +103,7 @@
     m_passed = false;
     if (is_linked()) {
         if (const auto sweeper = m_sweeper.lock()) {
-            sweeper->needAt(when);
+            sweeper->scheduleAt(when);
         }
     }
 }
--- a/src/adapters/http/deadlinesweeper.h
+++ b/src/adapters/http/deadlinesweeper.h
@@ -11,9 +11,8 @@
 
 class Deadline;
 
-// Looks through the deadlines it watches when the nearest of them is due, with
-// one timer for all of them and none while no deadline is set. A deadline
-// passes up to one step late.
+// Expires the deadlines that it watches, with a single timer for all of them, and none while
+// no deadline is set. A deadline may expire up to one step late.
 class DeadlineSweeper
 {
 public:
@@ -29,9 +28,9 @@
     std::shared_ptr<Private> d;
 };
 
-// The time limit of one connection's present work. Setting it is an assignment
-// and a comparison; the timer moves only if no watched deadline is as near, so
-// that most calls cost none.
+// The time limit of a connection's current operation. Setting it is an assignment and a
+// comparison; the timer is rescheduled only if this deadline becomes the earliest one, which
+// is rare.
 class Deadline : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
 public:
@@ -40,12 +39,12 @@
     Deadline(const Deadline &) = delete;
     Deadline &operator=(const Deadline &) = delete;
 
-    // Called once when the time has passed; ends the waiting operations.
+    // Called once when the deadline passes; ends the pending operations.
     std::function<void()> expire;
 
     void set(TimePoint when);
 
-    // Ends the watching. Once nothing is watched the timer is given up, so that
+    // Stops watching the deadline. The timer is cancelled once no deadline is watched, so that
     // it doesn't keep an otherwise finished context running.
     void release();
 
@@ -55,7 +54,7 @@
         m_passed = false;
     }
 
-    // Whether the time set last has passed.
+    // Whether the deadline that was set last has passed.
     bool passed() const
     {
         return m_passed;
--- a/src/adapters/http/httpclient.cpp
+++ b/src/adapters/http/httpclient.cpp
@@ -35,20 +35,20 @@
     co_return co_await exchange(endpoint, request, deadline, Companions());
 }
 
-asio::awaitable<Result<HttpResponse>> HttpClient::exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, Companions companions)
+asio::awaitable<Result<HttpResponse>> HttpClient::exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, Companions exchangeOptions)
 {
-    const auto keep = d;
-    if (keep->options.reachable && !keep->options.reachable(endpoint)) {
-        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": the link is cut for a test");
+    const auto self = d;
+    if (self->options.reachable && !self->options.reachable(endpoint)) {
+        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": disconnected by fault injection");
     }
-    auto &pool = *keep->pool;
+    auto &pool = *self->pool;
     const auto connections = pool.connectionsTo(endpoint);
-    auto *cancellation = companions.cancellation;
-    const auto givenUp = [cancellation] { return cancellation != nullptr && cancellation->cancelled(); };
-    if (givenUp()) {
-        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": given up before it was sent");
+    auto *cancellation = exchangeOptions.cancellation;
+    const auto isCancelled = [cancellation] { return cancellation != nullptr && cancellation->cancelled(); };
+    if (isCancelled()) {
+        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": the request was cancelled before it was sent");
     }
-    auto connection = pool.takeIdle(*connections, companions.maxIdle);
+    auto connection = pool.takeIdle(*connections, exchangeOptions.maxIdle);
     if (!connection) {
         auto connected = co_await pool.connect(connections, deadline);
         if (!connected) {
@@ -56,11 +56,11 @@
         }
         connection = std::move(*connected);
     }
-    if (givenUp()) {
+    if (isCancelled()) {
         pool.giveBack(std::move(connection));
-        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": given up before it was sent");
+        co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": the request was cancelled before it was sent");
     }
-    const auto exchange = std::make_shared<ClientExchange>(keep->pool, std::move(connection), keep->options);
+    const auto exchange = std::make_shared<ClientExchange>(self->pool, std::move(connection), self->options);
     if (cancellation != nullptr) {
         cancellation->setHook([weak = std::weak_ptr(exchange)] {
             if (const auto running = weak.lock()) {
@@ -68,20 +68,20 @@
             }
         });
     }
-    auto response = co_await exchange->run(request, deadline, companions);
+    auto response = co_await exchange->run(request, deadline, exchangeOptions);
     co_return response;
 }
 
 asio::awaitable<void> HttpClient::warm(Endpoint endpoint, std::size_t count, TimePoint deadline)
 {
-    const auto keep = d;
-    const auto connections = keep->pool->connectionsTo(endpoint);
+    const auto self = d;
+    const auto connections = self->pool->connectionsTo(endpoint);
     for (std::size_t i = 0; i < count && connections->open < std::min(count, connections->limit); ++i) {
-        auto connected = co_await keep->pool->connect(connections, deadline);
+        auto connected = co_await self->pool->connect(connections, deadline);
         if (!connected) {
             co_return;
         }
-        keep->pool->giveBack(std::move(*connected));
+        self->pool->giveBack(std::move(*connected));
     }
 }
 
--- a/src/adapters/http/httpmessage.h
+++ b/src/adapters/http/httpmessage.h
@@ -11,10 +11,10 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// An answer with a body of that type.
+// Makes a response with a body of that content type.
 HttpResponse makeResponse(http::status status, const std::string &contentType, std::string body);
 
-// A JSON error answer with a kind for programs and a message for people.
+// Makes a JSON error response with a kind for programs and a message for people.
 HttpResponse makeErrorResponse(http::status status, const std::string &kind, const std::string &message);
 
 }
--- a/src/adapters/http/httpserver.cpp
+++ b/src/adapters/http/httpserver.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// How late a connection's time limit may strike.
+// How late a connection's deadline may expire.
 constexpr Milliseconds SweepStep{20};
 
-// Pause after a failed accept, such as for want of descriptors.
-constexpr Milliseconds AcceptPause{10};
+// Pause after a failed accept, such as when the process is out of file descriptors.
+constexpr Milliseconds AcceptRetryDelay{10};
 
 }
 
@@ -37,7 +37,7 @@
 
     asio::awaitable<void> accept();
     asio::awaitable<void> serve(std::shared_ptr<HttpServerConnection> connection);
-    bool makeRoom();
+    bool evictWaitingConnection();
 };
 
 HttpServer::HttpServer(asio::io_context &context, Options options)
@@ -66,7 +66,7 @@
         }
     }
     if (error) {
-        return failure(ErrorKind::Invalid, fmt::format("{}: can't listen: {}; give a free address of this VM", toString(endpoint), error.message()));
+        return failure(ErrorKind::Invalid, fmt::format("{}: can't listen: {}; use a free address of this VM", toString(endpoint), error.message()));
     }
     asio::co_spawn(d->context, d->accept(), asio::detached);
     return {};
@@ -74,7 +74,7 @@
 
 asio::awaitable<void> HttpServer::Private::accept()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     while (acceptor.is_open()) {
         ErrorCode error;
         Tcp::socket socket(context);
@@ -83,13 +83,13 @@
             co_return;
         }
         if (error) {
-            // Out of descriptors: free one, and pause rather than spin.
-            makeRoom();
-            asio::steady_timer timer(context, AcceptPause);
+            // Out of file descriptors: free one, and pause instead of spinning.
+            evictWaitingConnection();
+            asio::steady_timer timer(context, AcceptRetryDelay);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
-        if (connections.size() >= state->options.maxConnections && !makeRoom()) {
+        if (connections.size() >= state->options.maxConnections && !evictWaitingConnection()) {
             continue;
         }
         auto connection = std::make_shared<HttpServerConnection>(std::move(socket), state);
@@ -99,11 +99,10 @@
     }
 }
 
-// Closes the connection that has waited longest without a request to handle.
-// Otherwise peers that connect and send nothing, or send it slowly, would keep
-// everybody else out until their time limits pass. A request that has been
-// read is never given up for a new connection.
-bool HttpServer::Private::makeRoom()
+// Closes the connection that has waited longest without a request being handled. Otherwise peers
+// that connect and send nothing, or send slowly, would lock out all others until their time limits
+// pass. A connection whose request is being handled is never closed for a new one.
+bool HttpServer::Private::evictWaitingConnection()
 {
     HttpServerConnection *oldest = nullptr;
     for (const auto &connection : connections) {
@@ -120,7 +119,7 @@
 
 asio::awaitable<void> HttpServer::Private::serve(std::shared_ptr<HttpServerConnection> connection)
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     co_await connection->serve();
     connections.erase(connection);
 }
--- a/src/adapters/http/httpserver.h
+++ b/src/adapters/http/httpserver.h
@@ -13,8 +13,8 @@
 
 namespace Galenahill {
 
-// An HTTP/1.1 server on one I/O context. Answers go out in the order of the
-// requests on a connection.
+// An HTTP/1.1 server on one I/O context. The responses on a connection have the order of its
+// requests.
 class HttpServer
 {
 public:
@@ -24,53 +24,51 @@
     {
         Endpoint endpoint;
         Handler handler;
-        // What peers may send, and how long they may take or stay idle.
+        // Limits for the size of requests, the time to send them, and idle connections.
         CallerLimits limits{.bodyBytes = 1024 * 1024};
-        // Whether bodies longer than this are given to the handler while they
-        // arrive.
+        // Whether bodies longer than bufferedBodyBytes are passed to the handler while they arrive.
         bool streamBodies = false;
         std::size_t bufferedBodyBytes = 64 * 1024;
-        // Bodies held in memory for all connections; beyond it they are given to
-        // the handler while they arrive, whatever their length.
+        // Limit for the buffered bodies of all connections. Beyond it, bodies of any length are
+        // passed to the handler while they arrive.
         std::size_t heldBodyBytes = 64 * 1024 * 1024;
-        // Peers send a body that they offer by its header (100 Continue) only when
-        // it is asked for. The handler then decides whether it comes, and a
-        // connection whose body was refused carries further requests.
+        // Whether peers that send Expect: 100-continue always wait for 100 Continue before they
+        // send the body. The handler then decides whether the body is sent, and the connection
+        // can be reused after a rejection.
         bool peersWaitForContinue = false;
-        // Time for a body that is held whole to arrive, and for each part of a
-        // streamed one to be sent or taken.
+        // Time limit for receiving a buffered body completely, for sending a response, and for
+        // each part of a streamed body.
         Milliseconds readTimeout{10000};
         std::size_t maxConnections = 4096;
-        // Whether the request may run before those ahead of it on its connection
-        // are answered: one that may run twice, since its peer sends it again
-        // if an answer before it closes the connection. Null: none may.
+        // Whether a pipelined request may run before the earlier ones of its connection are
+        // answered. It must be safe to run twice, since the peer sends it again if an earlier
+        // response closes the connection. Null: none may.
         std::function<bool(const HttpRequest &request)> mayRunAhead;
     };
 
     HttpServer(asio::io_context &context, Options options);
     ~HttpServer();
 
-    // Binds and starts to accept. Invalid if the address is taken.
+    // Binds and starts to accept connections. Invalid if the address is not available.
     Result<void> listen();
 
-    // Holds peers to these limits from their next request on.
+    // Replaces the limits; they apply from each connection's next request on.
     void limitPeers(const CallerLimits &limits);
 
-    // Closes each connection after its next answer from now on, and tells the
-    // peer so; new connections are still accepted.
+    // Closes each connection after its next response, which says Connection: close. New connections
+    // are still accepted.
     void closeAfterAnswers();
 
-    // Accepts no further connections and closes each one after its next
-    // answer; connections without a request stay open until closeIdle.
+    // Stops accepting connections and closes each one after its next response. Connections without
+    // a request stay open until closeIdle() is called.
     void drain();
 
-    // Closes the connections that have no request in flight.
+    // Closes the connections without a request in flight.
     void closeIdle();
 
     // Requests being handled.
     std::size_t requestsInFlight() const;
 
-    // Connections that are open.
     std::size_t connections() const;
 
     // Bytes received and sent.
--- a/src/adapters/http/httpserverconnection.cpp
+++ b/src/adapters/http/httpserverconnection.cpp
@@ -6,97 +6,97 @@
 
 namespace {
 
-// After a refusal the rest of the request is read and dropped for so long and
-// so much: closing with unread bytes resets the connection, and the peer
-// would lose the answer that tells it what is wrong.
+// Limits for reading and discarding the rest of a rejected request (lingering close). Closing
+// with unread bytes would reset the connection, and the peer would lose the error response.
 constexpr Milliseconds LingerTime{1000};
 constexpr std::size_t LingerBytes = 256 * 1024;
 
-// How soon a handler learns that its peer has closed, and that it has sent
-// another request. Two nodes stand between a caller and its target, so that the
-// target stops within a quarter of a second; looking five times as often took a
-// fifth of an idle node's time.
+// How often a connection whose request is being handled is checked for the peer's close and
+// for further requests. A call passes through two nodes, so a cancelled one stops at its target
+// within a quarter of a second. Checking five times as often took a fifth of an idle node's CPU
+// time.
 constexpr Milliseconds PeerCheckInterval{100};
 
-// Requests in line on one connection, and those run ahead of an answer on all
-// connections of the server. Each may hold an answer of 64 KB until its turn.
-constexpr std::size_t MaxInLine = 16;
-constexpr std::size_t MaxAhead = 256;
+// Most pipelined requests of one connection, and most requests on all connections of the server
+// that are handled before an earlier one is answered. Each may keep a response of 64 KB in
+// memory until its turn.
+constexpr std::size_t MaxPipelined = 16;
+constexpr std::size_t MaxRunningAhead = 256;
 
 }
 
-class HttpServerConnection::Place
+class HttpServerConnection::PipelineEntry
 {
 public:
-    Place(HttpServerConnection &connection, ServerExchange &exchange)
+    PipelineEntry(HttpServerConnection &connection, ServerExchange &exchange)
         : m_connection(connection)
         , m_exchange(exchange)
     {
-        connection.m_line.push_back(&exchange);
+        connection.m_pipeline.push_back(&exchange);
     }
 
-    ~Place()
+    ~PipelineEntry()
     {
         if (m_exchange.started) {
             --m_connection.m_started;
             --m_connection.m_state->inFlight;
-            m_connection.m_state->ahead -= m_ahead ? 1 : 0;
+            m_connection.m_state->ahead -= m_isAhead ? 1 : 0;
         }
-        m_connection.leaveLine(m_exchange);
+        m_connection.removeFromPipeline(m_exchange);
     }
 
-    Place(const Place &) = delete;
-    Place &operator=(const Place &) = delete;
+    PipelineEntry(const PipelineEntry &) = delete;
+    PipelineEntry &operator=(const PipelineEntry &) = delete;
 
     void start()
     {
-        m_ahead = m_connection.m_line.front() != &m_exchange;
+        m_isAhead = m_connection.m_pipeline.front() != &m_exchange;
         m_exchange.started = true;
         ++m_connection.m_started;
         ++m_connection.m_state->inFlight;
-        m_connection.m_state->ahead += m_ahead ? 1 : 0;
+        m_connection.m_state->ahead += m_isAhead ? 1 : 0;
     }
 
 private:
     HttpServerConnection &m_connection;
     ServerExchange &m_exchange;
-    bool m_ahead = false;
+    bool m_isAhead = false;
 };
 
 HttpServerConnection::HttpServerConnection(Tcp::socket socket, std::shared_ptr<HttpServerState> state)
     : m_channel(std::move(socket), state->bytes)
     , m_state(std::move(state))
-    , m_since(Clock::now())
+    , m_waitingSince(Clock::now())
 {
     m_channel.prepare();
-    ErrorCode gone;
-    const auto peer = m_channel.socket.remote_endpoint(gone);
-    m_peerAddress = gone ? std::string() : peer.address().to_string();
-    m_channel.deadline.expire = [this] { timeUp(); };
+    ErrorCode failed;
+    const auto peer = m_channel.socket.remote_endpoint(failed);
+    m_peerAddress = failed ? std::string() : peer.address().to_string();
+    m_channel.deadline.expire = [this] { deadlineExpired(); };
 }
 
 asio::awaitable<void> HttpServerConnection::serve()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     co_await readFrom(m_reader);
     if (!m_closed) {
-        m_end.emplace(co_await asio::this_coro::executor, TimePoint::max());
+        m_closedSignal.emplace(co_await asio::this_coro::executor, TimePoint::max());
         ErrorCode ignored;
-        co_await m_end->async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await m_closedSignal->async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
-// Reads and serves until another coroutine takes over the reading, or the
-// connection ends.
+// Reads and serves requests until another coroutine takes over reading, or the connection
+// ends.
 asio::awaitable<void> HttpServerConnection::readFrom(std::uint64_t reader)
 {
-    const auto keep = shared_from_this();
-    // GCC 12 runs a co_await behind && whatever stands before it, so each
+    const auto self = shared_from_this();
+    // GCC 12 evaluates a co_await on the right of && even if the left side is false, so each
     // condition that awaits is a statement of its own.
     bool open = co_await waitForRequest();
     while (open && !m_closed) {
         open = co_await serveRequest();
-        if (open && (m_reader != reader || m_ending)) {
+        if (open && (m_reader != reader || m_closesAfterResponse)) {
             co_return;
         }
         if (open) {
@@ -110,15 +110,15 @@
 {
     m_closed = true;
     m_channel.close();
-    for (auto *exchange : m_line) {
+    for (auto *exchange : m_pipeline) {
         if (exchange->turn) {
             exchange->turn->cancel();
         }
     }
-    // Those that still run have nobody to answer.
-    peerGone();
-    if (m_end) {
-        m_end->cancel();
+    // Nobody waits for the responses of the requests that still run.
+    peerDisconnected();
+    if (m_closedSignal) {
+        m_closedSignal->cancel();
     }
 }
 
@@ -129,7 +129,7 @@
 
 bool HttpServerConnection::busy() const
 {
-    return !m_line.empty() || m_reading == Reading::Request;
+    return !m_pipeline.empty() || m_reading == Reading::Request;
 }
 
 bool HttpServerConnection::handling() const
@@ -139,7 +139,7 @@
 
 TimePoint HttpServerConnection::since() const
 {
-    return m_since;
+    return m_waitingSince;
 }
 
 TcpChannel &HttpServerConnection::channel()
@@ -164,7 +164,7 @@
 
 bool HttpServerConnection::peerClosed()
 {
-    return m_peerGone || m_channel.peerClosed();
+    return m_peerDisconnected || m_channel.peerClosed();
 }
 
 std::string HttpServerConnection::peerAddress() const
@@ -178,66 +178,66 @@
     m_channel.deadline.set(Clock::now() + time);
 }
 
-// While others before it are handled, nothing is asked of the peer.
+// The idle timeout applies only while no earlier request is being handled.
 asio::awaitable<bool> HttpServerConnection::waitForRequest()
 {
-    if (m_peerGone) {
+    if (m_peerDisconnected) {
         co_return false;
     }
-    m_since = Clock::now();
+    m_waitingSince = Clock::now();
     if (m_channel.buffer.size() > 0) {
         co_return true;
     }
     m_reading = Reading::Idle;
-    if (m_line.empty()) {
+    if (m_pipeline.empty()) {
         limitTime(m_state->options.limits.idleTimeout);
     }
     m_channel.releaseBuffer();
     const auto error = co_await m_channel.readMore();
     m_reading = Reading::Nothing;
     if (error) {
-        peerGone();
+        peerDisconnected();
     }
     co_return !error;
 }
 
 asio::awaitable<bool> HttpServerConnection::serveRequest()
 {
-    m_since = Clock::now();
+    m_waitingSince = Clock::now();
     ServerExchange exchange(*this);
     HttpRequest request;
     m_reading = Reading::Request;
-    if (m_line.empty()) {
+    if (m_pipeline.empty()) {
         limitTime(m_state->options.limits.headerTimeout);
     }
-    auto fault = co_await exchange.readHeader(request);
+    auto requestError = co_await exchange.readHeader(request);
     m_reading = Reading::Nothing;
-    if (m_ending) {
+    if (m_closesAfterResponse) {
         co_return true;
     }
-    if (fault && fault->status == http::status::unknown) {
-        peerGone();
+    if (requestError && requestError->status == http::status::unknown) {
+        peerDisconnected();
         co_return false;
     }
-    Place place(*this, exchange);
-    const bool inTurn = isFirst(exchange) || (!fault && mayRunAhead(exchange, request));
+    PipelineEntry entry(*this, exchange);
+    const bool inTurn = isFirst(exchange) || (!requestError && mayPipeline(exchange, request));
     if (!inTurn) {
-        const bool mine = co_await waitTurn(exchange);
-        if (!mine || m_ending) {
+        const bool isTurn = co_await waitTurn(exchange);
+        if (!isTurn || m_closesAfterResponse) {
             co_return false;
         }
     }
-    if (!fault && !exchange.whole()) {
+    if (!requestError && !exchange.whole()) {
         m_reading = Reading::Request;
-        fault = co_await exchange.readBody(request);
+        requestError = co_await exchange.readBody(request);
         m_reading = Reading::Nothing;
     }
-    if (fault) {
-        co_await refuse(exchange, std::move(*fault));
+    if (requestError) {
+        co_await reject(exchange, std::move(*requestError));
         co_return false;
     }
     m_channel.deadline.clear();
-    place.start();
+    entry.start();
     if (exchange.quiet()) {
         watchPeer();
         readAhead();
@@ -255,19 +255,17 @@
     co_return exchange.keepsConnection();
 }
 
-// A request that must not run twice waits for the answers before it: if one of
-// them closes the connection, the peer takes what is behind it for unread and
-// sends it again. One with a body waits as well, since bodies are read one at a
-// time.
-bool HttpServerConnection::mayRunAhead(const ServerExchange &exchange, const HttpRequest &request) const
+// A request that must not run twice waits until the earlier ones are answered: if one of their
+// responses closes the connection, the peer assumes that later requests weren't read and sends
+// them again. A request with a body waits as well, since bodies are read one at a time.
+bool HttpServerConnection::mayPipeline(const ServerExchange &exchange, const HttpRequest &request) const
 {
     const auto &options = m_state->options;
-    return exchange.whole() && m_state->ahead < MaxAhead && options.mayRunAhead && options.mayRunAhead(request);
+    return exchange.whole() && m_state->ahead < MaxRunningAhead && options.mayRunAhead && options.mayRunAhead(request);
 }
 
-// A handler that throws must not take the connection's coroutine with it: the
-// request would count as in flight for good, so that a drain never ends, and
-// its caller would wait for nothing.
+// An exception of the handler must not end the connection's coroutine: the request would count
+// as in flight for ever, so that a drain never completes, and its caller would get no response.
 asio::awaitable<HttpResponse> HttpServerConnection::handle(ServerExchange &exchange, HttpRequest request)
 {
     std::string reason;
@@ -281,12 +279,12 @@
     co_return exchange.handlerFailed(reason);
 }
 
-asio::awaitable<void> HttpServerConnection::refuse(ServerExchange &exchange, RequestFault fault)
+asio::awaitable<void> HttpServerConnection::reject(ServerExchange &exchange, RequestFault requestError)
 {
-    if (fault.status == http::status::unknown) {
+    if (requestError.status == http::status::unknown) {
         co_return;
     }
-    const auto error = co_await exchange.refuse(std::move(fault));
+    const auto error = co_await exchange.refuse(std::move(requestError));
     if (!error) {
         co_await linger();
     }
@@ -297,9 +295,9 @@
     ErrorCode error;
     m_channel.socket.shutdown(Tcp::socket::shutdown_send, error);
     limitTime(LingerTime);
-    std::size_t dropped = 0;
-    while (!error && dropped < LingerBytes) {
-        dropped += m_channel.buffer.size();
+    std::size_t discarded = 0;
+    while (!error && discarded < LingerBytes) {
+        discarded += m_channel.buffer.size();
         m_channel.buffer.clear();
         error = co_await m_channel.readMore();
     }
@@ -307,12 +305,12 @@
 
 bool HttpServerConnection::isFirst(const ServerExchange &exchange) const
 {
-    return !m_closed && m_line.front() == &exchange;
+    return !m_closed && m_pipeline.front() == &exchange;
 }
 
 asio::awaitable<bool> HttpServerConnection::waitTurn(ServerExchange &exchange)
 {
-    while (m_line.front() != &exchange && !m_closed) {
+    while (m_pipeline.front() != &exchange && !m_closed) {
         exchange.turn.emplace(co_await asio::this_coro::executor, TimePoint::max());
         ErrorCode ignored;
         co_await exchange.turn->async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -322,24 +320,24 @@
 
 void HttpServerConnection::endWithAnswer()
 {
-    m_ending = true;
+    m_closesAfterResponse = true;
 }
 
 bool HttpServerConnection::startedBehind(const ServerExchange &exchange) const
 {
-    const auto place = std::find(m_line.begin(), m_line.end(), &exchange);
-    return std::any_of(place + 1, m_line.end(), [](const auto *behind) { return behind->started; });
+    const auto entry = std::find(m_pipeline.begin(), m_pipeline.end(), &exchange);
+    return std::any_of(entry + 1, m_pipeline.end(), [](const auto *later) { return later->started; });
 }
 
-void HttpServerConnection::leaveLine(ServerExchange &exchange)
+void HttpServerConnection::removeFromPipeline(ServerExchange &exchange)
 {
-    m_line.erase(std::find(m_line.begin(), m_line.end(), &exchange));
+    m_pipeline.erase(std::find(m_pipeline.begin(), m_pipeline.end(), &exchange));
     if (m_closed) {
         return;
     }
-    if (!m_line.empty()) {
-        if (m_line.front()->turn) {
-            m_line.front()->turn->cancel();
+    if (!m_pipeline.empty()) {
+        if (m_pipeline.front()->turn) {
+            m_pipeline.front()->turn->cancel();
         }
         watchPeer();
         readAhead();
@@ -351,30 +349,28 @@
     }
 }
 
-// Another coroutine reads on if the peer has sent more behind a request that a
-// handler has. Not while the server stops: what isn't read then is sent again by
-// the peer to another node.
+// Starts another reading coroutine if the peer has sent more while the handler has the last
+// request. Not while the server drains: the peer sends unread requests again to another node.
 void HttpServerConnection::readAhead()
 {
-    const bool wanted = m_state->options.mayRunAhead && m_channel.buffer.size() > 0 && !m_state->draining && !m_ending;
-    const bool handled = m_reading == Reading::Nothing && !m_line.empty() && m_line.back()->started;
-    if (!wanted || !handled || !m_line.back()->whole() || !m_line.back()->keepsConnection() || m_line.size() >= MaxInLine) {
+    const bool wanted = m_state->options.mayRunAhead && m_channel.buffer.size() > 0 && !m_state->draining && !m_closesAfterResponse;
+    const bool handled = m_reading == Reading::Nothing && !m_pipeline.empty() && m_pipeline.back()->started;
+    if (!wanted || !handled || !m_pipeline.back()->whole() || !m_pipeline.back()->keepsConnection() || m_pipeline.size() >= MaxPipelined) {
         return;
     }
     m_reading = Reading::Request;
     asio::co_spawn(m_channel.socket.get_executor(), readFrom(++m_reader), asio::detached);
 }
 
-// Looks now and then whether the peer has closed. To wait for it would cost
-// each call an operation and a system call; most calls end before the first
-// look.
+// Checks periodically whether the peer has closed. Waiting for the close instead would cost each
+// call an asynchronous operation and a system call; most calls end before the first check.
 void HttpServerConnection::watchPeer()
 {
     m_channel.deadline.set(Clock::now() + PeerCheckInterval);
     m_watching = true;
 }
 
-void HttpServerConnection::timeUp()
+void HttpServerConnection::deadlineExpired()
 {
     if (m_watching && handling()) {
         checkPeer();
@@ -383,32 +379,32 @@
     }
 }
 
-// What the peer sent ahead is read into the bounded buffer, since a close can
-// be seen only behind it. Once the buffer is full the peer isn't watched any
-// more until its next request. While a coroutine reads, that one sees the close.
+// Reads pipelined bytes into the bounded buffer, since a close shows only after them. Once the
+// buffer is full, the peer isn't watched until its next request. While a coroutine reads, that
+// one detects the close.
 void HttpServerConnection::checkPeer()
 {
     auto &buffer = m_channel.buffer;
-    const auto room = buffer.max_size() - buffer.size();
-    if (m_reading != Reading::Nothing || m_line.empty() || !m_line.back()->quiet() || room == 0) {
+    const auto space = buffer.max_size() - buffer.size();
+    if (m_reading != Reading::Nothing || m_pipeline.empty() || !m_pipeline.back()->quiet() || space == 0) {
         return;
     }
     ErrorCode error;
-    buffer.commit(m_channel.socket.read_some(buffer.prepare(room), error));
+    buffer.commit(m_channel.socket.read_some(buffer.prepare(space), error));
     if (error && error != asio::error::would_block) {
-        peerGone();
+        peerDisconnected();
         return;
     }
     watchPeer();
     readAhead();
 }
 
-// Nobody waits for the answers to what is in the line.
-void HttpServerConnection::peerGone()
+// Cancels all requests of the pipeline, since nobody waits for their responses.
+void HttpServerConnection::peerDisconnected()
 {
-    m_peerGone = true;
-    const auto line = m_line;
-    for (auto *exchange : line) {
+    m_peerDisconnected = true;
+    const auto pipeline = m_pipeline;
+    for (auto *exchange : pipeline) {
         exchange->cancellation().cancel();
     }
 }
--- a/src/adapters/http/httpserverconnection.h
+++ b/src/adapters/http/httpserverconnection.h
@@ -7,26 +7,26 @@
 
 namespace Galenahill {
 
-// What the connections of one server share.
+// State shared by the connections of one server.
 struct HttpServerState
 {
     HttpServer::Options options;
     std::atomic<std::uint64_t> bytes = 0;
     std::size_t inFlight = 0;
-    // Lengths of the bodies that are held.
+    // Total length of the request bodies buffered in memory.
     std::uint64_t heldBytes = 0;
-    // Requests that run while one before them on their connection does.
+    // Requests being handled while an earlier one of their connection is not yet answered.
     std::size_t ahead = 0;
     bool draining = false;
 };
 
-// One connection of a server: reads requests, has them handled, sends the
-// answers in the order of the requests, until either side closes.
+// One connection of a server: reads requests, passes them to the handler and sends the
+// responses in the order of the requests, until either side closes.
 //
-// Mostly one coroutine does it all, request after request. When bytes arrive
-// while it waits for a handler, another one takes over the reading; the first
-// ends with its answer. So there is one reader at any time, and a connection
-// whose peer waits for each answer costs nothing more.
+// Usually a single coroutine does this, request after request. When bytes arrive while it waits
+// for the handler, another coroutine takes over reading, and the first one ends after its
+// response. So only one coroutine reads at any time, and a connection whose peer doesn't
+// pipeline needs no further coroutine.
 class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection>
 {
 public:
@@ -35,7 +35,7 @@
     // Serves until the connection is closed.
     asio::awaitable<void> serve();
 
-    // Closes at once.
+    // Closes the connection immediately.
     void close();
 
     Deadline &deadline();
@@ -43,13 +43,13 @@
     // Whether a request is being read or handled.
     bool busy() const;
 
-    // Whether a request is being handled or answered.
+    // Whether a request is being handled or its response is being sent.
     bool handling() const;
 
-    // When the connection began to wait for what it waits for.
+    // When the connection began to wait for its current request.
     TimePoint since() const;
 
-    // For its exchanges.
+    // Used by the connection's exchanges.
     TcpChannel &channel();
     const HttpServer::Options &options() const;
     std::uint64_t &heldBytes();
@@ -59,61 +59,62 @@
     void limitTime(Milliseconds time);
     void watchPeer();
 
-    // Whether all answers before that of the exchange are sent.
+    // Whether all responses before that of the exchange have been sent.
     bool isFirst(const ServerExchange &exchange) const;
 
-    // Waits until they are; false if the connection is closed first.
+    // Waits until all responses before that of the exchange have been sent; false if the
+    // connection is closed first.
     asio::awaitable<bool> waitTurn(ServerExchange &exchange);
 
-    // Nothing behind the answer that is about to be sent is taken any more.
+    // Makes the response that is about to be sent the last one; later requests are ignored.
     void endWithAnswer();
 
-    // Whether a request behind the exchange is being handled.
+    // Whether a later request than that of the exchange is being handled.
     bool startedBehind(const ServerExchange &exchange) const;
 
 private:
-    // What the reader is doing.
+    // What the reading coroutine is doing.
     enum class Reading {
-        // A handler has the last request; nothing is being read.
+        // The handler has the last request; nothing is being read.
         Nothing,
-        // Waits for the first byte of a request.
+        // Waiting for the first byte of a request.
         Idle,
         Request,
     };
 
-    // Holds the exchange's place in the line, and counts the request as in
-    // flight once it is started, whatever ends the handler.
-    class Place;
+    // Keeps the exchange in the pipeline while in scope, and counts the request as in flight
+    // once it is started, even if the handler throws.
+    class PipelineEntry;
 
     asio::awaitable<void> readFrom(std::uint64_t reader);
     asio::awaitable<bool> waitForRequest();
     asio::awaitable<bool> serveRequest();
-    bool mayRunAhead(const ServerExchange &exchange, const HttpRequest &request) const;
+    bool mayPipeline(const ServerExchange &exchange, const HttpRequest &request) const;
     asio::awaitable<HttpResponse> handle(ServerExchange &exchange, HttpRequest request);
-    asio::awaitable<void> refuse(ServerExchange &exchange, RequestFault fault);
+    asio::awaitable<void> reject(ServerExchange &exchange, RequestFault requestError);
     asio::awaitable<void> linger();
     void readAhead();
-    void leaveLine(ServerExchange &exchange);
-    void timeUp();
+    void removeFromPipeline(ServerExchange &exchange);
+    void deadlineExpired();
     void checkPeer();
-    void peerGone();
+    void peerDisconnected();
 
     TcpChannel m_channel;
     std::shared_ptr<HttpServerState> m_state;
-    // In the order of their requests.
-    std::vector<ServerExchange *> m_line;
+    // Exchanges in the order of their requests.
+    std::vector<ServerExchange *> m_pipeline;
     std::string m_peerAddress;
-    TimePoint m_since;
-    // The coroutine that reads; each new one takes over.
+    TimePoint m_waitingSince;
+    // Number of the coroutine that reads; each new one takes over.
     std::uint64_t m_reader = 0;
     Reading m_reading = Reading::Nothing;
     std::size_t m_started = 0;
     bool m_watching = false;
-    bool m_peerGone = false;
-    bool m_ending = false;
+    bool m_peerDisconnected = false;
+    bool m_closesAfterResponse = false;
     bool m_closed = false;
-    // Wakes serve() when another coroutine has come to the end.
-    std::optional<asio::steady_timer> m_end;
+    // Wakes serve() when another coroutine closes the connection.
+    std::optional<asio::steady_timer> m_closedSignal;
 };
 
 }
--- a/src/adapters/http/messagereader.h
+++ b/src/adapters/http/messagereader.h
@@ -9,7 +9,7 @@
 
 namespace Galenahill {
 
-// Reads one message from a channel, its body in parts of a bounded size.
+// Reads one message from a channel, and its body in parts of bounded size.
 template <bool IsRequest>
 class MessageReader
 {
@@ -25,7 +25,7 @@
         m_parser.eager(false);
     }
 
-    // The answer to a HEAD request has no body whatever its header says.
+    // For the response to a HEAD request, which has no body whatever its header says.
     void skipBody()
     {
         m_parser.skip(true);
@@ -34,10 +34,10 @@
     // Reads up to the end of the header.
     asio::awaitable<ErrorCode> readHeader();
 
-    // Appends the body's next bytes, up to so many.
+    // Appends the next bytes of the body, up to `limit`.
     asio::awaitable<ErrorCode> readBody(std::string &part, std::size_t limit);
 
-    // Whether the whole message has been read.
+    // Whether the message has been read to its end.
     bool done() const
     {
         return m_parser.is_done();
@@ -64,20 +64,19 @@
         return m_parser.get().result();
     }
 
-    // The fields of the header, once read.
+    // The header fields; valid once readHeader() has succeeded.
     const http::fields &fields() const
     {
         return m_parser.get().base();
     }
 
-    // What is wrong with the bytes of the header, if that is why it can't be
-    // read.
+    // Why the header was rejected, if readHeader() failed because of its bytes.
     const std::optional<RequestFault> &fault() const
     {
-        return m_fault;
+        return m_requestError;
     }
 
-    // The header, once read. Fields that trail a chunked body aren't in it.
+    // The header, once read. Trailer fields of a chunked body aren't part of it.
     Header takeHeader()
     {
         return std::move(m_parser.get().base());
@@ -90,7 +89,7 @@
     TcpChannel &m_channel;
     std::uint32_t m_maxHeaderBytes;
     http::parser<IsRequest, http::buffer_body> m_parser;
-    std::optional<RequestFault> m_fault;
+    std::optional<RequestFault> m_requestError;
 };
 
 template <bool IsRequest>
@@ -105,8 +104,8 @@
         }
         const auto length = headerLength(text);
         if (IsRequest) {
-            m_fault = checkHeaderBytes(length > 0 ? text.substr(0, length) : text);
-            if (m_fault) {
+            m_requestError = checkHeaderBytes(length > 0 ? text.substr(0, length) : text);
+            if (m_requestError) {
                 co_return http::error::bad_field;
             }
         }
@@ -160,7 +159,7 @@
         if (error == http::error::need_more) {
             error = co_await m_channel.readMore();
             if (error == asio::error::eof) {
-                // Only a body without a length may end with the connection.
+                // Only a body of unstated length may end with the connection.
                 error = {};
                 m_parser.put_eof(error);
             }
--- a/src/adapters/http/requestcheck.cpp
+++ b/src/adapters/http/requestcheck.cpp
@@ -10,31 +10,31 @@
 constexpr std::string_view HeaderEnd = "\r\n\r\n";
 constexpr std::string_view HttpScheme = "http://";
 
-RequestFault fault(std::string message)
+RequestFault badRequest(std::string message)
 {
     return {http::status::bad_request, std::move(message)};
 }
 
 bool allDigits(boost::beast::string_view text)
 {
-    return !text.empty() && std::all_of(text.begin(), text.end(), [](char letter) { return letter >= '0' && letter <= '9'; });
+    return !text.empty() && std::all_of(text.begin(), text.end(), [](char character) { return character >= '0' && character <= '9'; });
 }
 
-// Only one Content-Length, only digits, or only one Transfer-Encoding, only
-// "chunked". Beast takes repeated equal lengths and lists of them, and treats
-// other codings as no body at all.
+// Allows either one Content-Length of digits only, or one Transfer-Encoding that is "chunked".
+// Beast accepts repeated equal lengths and lists of them, and treats other codings as an absent
+// body.
 std::optional<RequestFault> checkLength(const http::request_header<> &header)
 {
     const auto lengths = header.count(http::field::content_length);
     const auto codings = header.count(http::field::transfer_encoding);
     if (lengths + codings > 1) {
-        return fault("the body's length is given more than once; send one Content-Length or one Transfer-Encoding");
+        return badRequest("more than one Content-Length or Transfer-Encoding field; send exactly one of them");
     }
     if (lengths == 1 && !allDigits(header[http::field::content_length])) {
-        return fault("Content-Length isn't a number; send digits only");
+        return badRequest("Content-Length is not a number; send digits only");
     }
     if (codings == 1 && (header.version() < 11 || !boost::algorithm::iequals(header[http::field::transfer_encoding], "chunked"))) {
-        return RequestFault{http::status::not_implemented, "the only Transfer-Encoding taken is chunked, from HTTP/1.1 on"};
+        return RequestFault{http::status::not_implemented, "unsupported Transfer-Encoding; only chunked is supported, in HTTP/1.1"};
     }
     return std::nullopt;
 }
@@ -43,12 +43,12 @@
 {
     const auto hosts = header.count(http::field::host);
     if (hosts > 1 || (hosts == 0 && header.version() >= 11)) {
-        return fault("send exactly one Host field");
+        return badRequest("Host field missing or repeated; send exactly one");
     }
     return std::nullopt;
 }
 
-// Absolute form names the host a second time; the rule is that it wins.
+// The host of a target in absolute form takes precedence over the Host field (RFC 7230, 5.4).
 std::optional<RequestFault> normalizeTarget(http::request_header<> &header)
 {
     const std::string target(header.target());
@@ -61,7 +61,7 @@
     }
     const bool asterisk = target == "*" && header.method() == http::verb::options;
     if (!asterisk && target.front() != '/') {
-        return fault("the request's target is no path; send one that begins with /");
+        return badRequest("the request target is not a path; send one that begins with /");
     }
     return std::nullopt;
 }
@@ -77,15 +77,15 @@
 std::optional<RequestFault> checkHeaderBytes(std::string_view header)
 {
     if (header.find('\0') != std::string_view::npos) {
-        return fault("the header holds a NUL byte");
+        return badRequest("the request header contains a NUL byte");
     }
     for (auto feed = header.find('\n'); feed != std::string_view::npos; feed = header.find('\n', feed + 1)) {
         if (feed == 0 || header[feed - 1] != '\r') {
-            return fault("a header line ends with LF alone; end each with CR LF");
+            return badRequest("a header line ends with LF only; end each line with CR LF");
         }
         const bool folded = feed + 1 < header.size() && (header[feed + 1] == ' ' || header[feed + 1] == '\t');
         if (folded) {
-            return fault("a header line is folded; send each field on one line");
+            return badRequest("a header line is folded; send each field on one line");
         }
     }
     return std::nullopt;
@@ -93,11 +93,11 @@
 
 std::optional<RequestFault> checkHeader(http::request_header<> &header)
 {
-    if (auto found = checkLength(header)) {
-        return found;
+    if (auto error = checkLength(header)) {
+        return error;
     }
-    if (auto found = checkHost(header)) {
-        return found;
+    if (auto error = checkHost(header)) {
+        return error;
     }
     return normalizeTarget(header);
 }
--- a/src/adapters/http/requestcheck.h
+++ b/src/adapters/http/requestcheck.h
@@ -8,27 +8,26 @@
 
 namespace Galenahill {
 
-// Why a request can't be taken. Its connection is closed after the answer,
-// since where the next request begins is no longer certain.
+// Why the server rejects a request before its handler sees it. The connection is closed after
+// the error response, since the start of the next request is no longer certain.
 struct RequestFault
 {
     http::status status = http::status::bad_request;
     std::string message;
 };
 
-// Length of the header block that the text begins with, its empty line
-// included; 0 while it is incomplete.
+// Length of the header block at the start of the text, including its final empty line; 0 if it
+// is incomplete.
 std::size_t headerLength(std::string_view text);
 
-// Looks at the bytes of a header block, whole or not, for shapes that one
-// HTTP parser takes for another line than the next one does: a bare LF, a
-// folded line, a NUL. Beast accepts some of them. Were they passed on, the
-// target might see a second request that no limit or route has been applied
-// to (request smuggling). Refusing them costs no caller that follows RFC 7230.
+// Checks the bytes of a complete or partial header block for forms that HTTP parsers interpret
+// differently: a bare LF, a folded line, a NUL. Beast accepts some of them. If they were
+// forwarded, the target might see a second request that no route or limit has been applied to
+// (request smuggling). Clients that follow RFC 7230 don't send them.
 std::optional<RequestFault> checkHeaderBytes(std::string_view header);
 
-// Looks at what is said about the body's length, the host and the target.
-// The target is brought into origin form.
+// Checks the body's length, the Host field and the request target, and converts the target to
+// origin form.
 std::optional<RequestFault> checkHeader(http::request_header<> &header);
 
 }
--- a/src/adapters/http/serverconnection.h
+++ b/src/adapters/http/serverconnection.h
@@ -6,30 +6,28 @@
 
 namespace Galenahill {
 
-// What a handler may ask of the connection that a request came on.
+// The connection that a request arrived on, as its handler sees it.
 class ServerConnection
 {
 public:
     virtual ~ServerConnection() = default;
 
-    // Whether the peer has closed its side. A request of a peer that is gone
-    // needs no answer.
+    // Whether the peer has closed its side, so that the request needs no response.
     virtual bool peerClosed() = 0;
 
-    // The IP number that the peer connected from; empty if it is gone.
+    // The peer's IP address; empty if the peer had already disconnected when it was accepted.
     virtual std::string peerAddress() const = 0;
 
-    // Cancelled when the peer closes its side while its request is handled.
+    // Cancelled when the peer closes its side while its request is being handled.
     virtual Cancellation &cancellation() = 0;
 
-    // The part of the request's body that hasn't arrived yet; null if the
-    // request holds the whole body, as it always does without streaming.
+    // The part of the request's body that hasn't been read yet; null if the request contains
+    // the complete body, as it always does when bodies aren't streamed.
     virtual BodySource *requestBody() = 0;
 
-    // Sends an answer whose body goes on after what the response holds. The
-    // handler's own return value isn't sent then. If the source is cut off,
-    // the connection is closed, so that the peer can't take the part for the
-    // whole.
+    // Sends a response whose body continues with `rest` after the part in `response`. The
+    // handler's return value is then ignored. If the source fails, the connection is closed,
+    // so that the peer can't mistake the truncated body for a complete one.
     virtual asio::awaitable<void> sendStreamed(HttpResponse response, BodySource &rest) = 0;
 };
 
--- a/src/adapters/http/serverexchange.cpp
+++ b/src/adapters/http/serverexchange.cpp
@@ -15,14 +15,14 @@
 
 constexpr std::string_view ContinueLine = "HTTP/1.1 100 Continue\r\n\r\n";
 
-bool bodyless(http::status status)
+bool hasNoBody(http::status status)
 {
     return status == http::status::no_content || status == http::status::not_modified;
 }
 
 }
 
-// The rest of a request's body, read from the connection as it is asked for.
+// The rest of a request's body, read from the connection on demand.
 class ServerExchange::RequestBody : public BodySource
 {
 public:
@@ -33,7 +33,7 @@
 
     asio::awaitable<ErrorCode> read(std::string &part, std::size_t limit) override
     {
-        m_taken = true;
+        m_readStarted = true;
         auto &connection = m_exchange.m_connection;
         connection.limitTime(connection.options().readTimeout);
         ErrorCode error = co_await m_exchange.sendContinue();
@@ -55,7 +55,7 @@
 
     bool taken() const override
     {
-        return m_taken;
+        return m_readStarted;
     }
 
     std::optional<std::uint64_t> length() const override
@@ -65,7 +65,7 @@
 
 private:
     ServerExchange &m_exchange;
-    bool m_taken = false;
+    bool m_readStarted = false;
 };
 
 ServerExchange::ServerExchange(HttpServerConnection &connection)
@@ -78,47 +78,47 @@
 
 ServerExchange::~ServerExchange()
 {
-    m_connection.heldBytes() -= m_heldBytes;
+    m_connection.heldBytes() -= m_bufferedBytes;
 }
 
 asio::awaitable<std::optional<RequestFault>> ServerExchange::readHeader(HttpRequest &request)
 {
     const auto error = co_await m_reader.readHeader();
     if (error) {
-        co_return faultOf(error);
+        co_return requestErrorOf(error);
     }
     auto header = m_reader.takeHeader();
-    if (auto fault = checkHeader(header)) {
-        co_return fault;
+    if (auto requestError = checkHeader(header)) {
+        co_return requestError;
     }
     request = HttpRequest(std::move(header));
     m_version = request.version();
-    m_head = request.method() == http::verb::head;
+    m_isHead = request.method() == http::verb::head;
     m_keepAlive = m_reader.keepAlive();
     const auto expected = request[http::field::expect];
     m_continueExpected = boost::algorithm::iequals(expected, "100-continue") && request.version() >= 11;
     if (!expected.empty() && !m_continueExpected) {
-        co_return RequestFault{http::status::expectation_failed, "the only expectation met is 100-continue"};
+        co_return RequestFault{http::status::expectation_failed, "unsupported Expect field; only 100-continue is supported"};
     }
     request.erase(http::field::expect);
     co_return std::nullopt;
 }
 
-bool ServerExchange::bodyUnasked() const
+bool ServerExchange::peerAwaitsContinue() const
 {
     return m_connection.options().peersWaitForContinue && m_continueExpected;
 }
 
-// Whether the body is read before the handler gets the request. One of unknown
-// length is as far as it may be held.
-bool ServerExchange::holdsBody() const
+// Whether the body is read before the handler gets the request. A body of unknown length is, up
+// to the limit for buffered bodies.
+bool ServerExchange::buffersBody() const
 {
     const auto &options = m_connection.options();
     if (!options.streamBodies) {
         return true;
     }
     const auto length = m_reader.contentLength().value_or(0);
-    return !bodyUnasked() && length <= options.bufferedBodyBytes && m_connection.heldBytes() + length <= options.heldBodyBytes;
+    return !peerAwaitsContinue() && length <= options.bufferedBodyBytes && m_connection.heldBytes() + length <= options.heldBodyBytes;
 }
 
 asio::awaitable<std::optional<RequestFault>> ServerExchange::readBody(HttpRequest &request)
@@ -126,22 +126,22 @@
     const auto &options = m_connection.options();
     const auto length = m_reader.contentLength();
     m_connection.limitTime(options.readTimeout);
-    const bool held = holdsBody();
-    // Grown step by step, a body of some hundred kilobytes would be held twice
-    // over for a moment.
-    if (held && length) {
-        m_heldBytes = *length;
-        m_connection.heldBytes() += m_heldBytes;
+    const bool buffered = buffersBody();
+    // If the string grew step by step, a body of several hundred kilobytes would take twice its
+    // size for a moment.
+    if (buffered && length) {
+        m_bufferedBytes = *length;
+        m_connection.heldBytes() += m_bufferedBytes;
         request.body().reserve(*length);
     }
-    while (held && !m_reader.done() && !(options.streamBodies && request.body().size() >= options.bufferedBodyBytes)) {
+    while (buffered && !m_reader.done() && !(options.streamBodies && request.body().size() >= options.bufferedBodyBytes)) {
         ErrorCode error = co_await sendContinue();
         if (!error) {
             const auto step = length ? std::min<std::uint64_t>(*length - request.body().size(), PartBytes) : ReadAheadBytes;
             error = co_await m_reader.readBody(request.body(), step);
         }
         if (error) {
-            co_return faultOf(error);
+            co_return requestErrorOf(error);
         }
     }
     if (!m_reader.done()) {
@@ -160,23 +160,23 @@
     co_return co_await m_channel.write(line);
 }
 
-std::optional<RequestFault> ServerExchange::faultOf(const ErrorCode &error) const
+std::optional<RequestFault> ServerExchange::requestErrorOf(const ErrorCode &error) const
 {
     if (m_reader.fault()) {
         return m_reader.fault();
     }
     if (error == http::error::header_limit) {
-        return RequestFault{http::status::request_header_fields_too_large, "the header is larger than this server takes; shorten it"};
+        return RequestFault{http::status::request_header_fields_too_large, "the request header exceeds this server's limit; shorten it"};
     }
     if (error == http::error::body_limit) {
-        return RequestFault{http::status::payload_too_large, "the body is larger than this server takes; shorten it"};
+        return RequestFault{http::status::payload_too_large, "the request body exceeds this server's limit; shorten it"};
     }
     if (error == asio::error::timed_out) {
-        return RequestFault{http::status::request_timeout, "the request didn't arrive in time; send it at once"};
+        return RequestFault{http::status::request_timeout, "the request did not arrive completely within the time limit; send it without pauses"};
     }
     const bool malformed = error.category() == http::make_error_code(http::error::bad_method).category() && error != http::error::partial_message;
     if (malformed || error == boost::system::errc::no_buffer_space) {
-        return RequestFault{http::status::bad_request, "the request can't be read: " + error.message()};
+        return RequestFault{http::status::bad_request, "malformed request: " + error.message()};
     }
     return RequestFault{http::status::unknown, {}};
 }
@@ -184,47 +184,47 @@
 HttpResponse ServerExchange::handlerFailed(const std::string &reason)
 {
     m_keepAlive = false;
-    auto response = makeErrorResponse(http::status::internal_server_error, "internal", "handling the request failed: " + reason);
+    auto response = makeErrorResponse(http::status::internal_server_error, "internal", "the request handler failed: " + reason);
     response.set(CallHeaders::Outcome, CallHeaders::OutcomeUnknown);
     return response;
 }
 
-// A connection that is closed takes along what was read behind this request. On a
-// planned stop it is kept until the last of those that run is answered; what
-// doesn't run yet counts as not read.
-bool ServerExchange::keepsAfterAnswer() const
+// Closing the connection discards the requests that were read after this one. While the server
+// drains, the connection is kept until the last running request is answered; requests that don't
+// run yet count as not read.
+bool ServerExchange::keepsAfterResponse() const
 {
-    const bool stays = !m_connection.draining() || m_connection.startedBehind(*this);
-    return m_keepAlive && !m_failed && quiet() && stays;
+    const bool continues = !m_connection.draining() || m_connection.startedBehind(*this);
+    return m_keepAlive && !m_failed && quiet() && continues;
 }
 
 asio::awaitable<void> ServerExchange::answer(HttpResponse response)
 {
-    if (m_answered) {
+    if (m_responded) {
         co_return;
     }
-    bool mine = m_connection.isFirst(*this);
-    if (!mine) {
-        mine = co_await m_connection.waitTurn(*this);
+    bool isTurn = m_connection.isFirst(*this);
+    if (!isTurn) {
+        isTurn = co_await m_connection.waitTurn(*this);
     }
-    if (!mine) {
+    if (!isTurn) {
         m_failed = true;
         co_return;
     }
-    m_keepAlive = keepsAfterAnswer();
+    m_keepAlive = keepsAfterResponse();
     if (!m_keepAlive) {
         m_connection.endWithAnswer();
     }
     response.version(m_version);
     response.keep_alive(m_keepAlive);
     response.erase(http::field::transfer_encoding);
-    if (bodyless(response.result())) {
+    if (hasNoBody(response.result())) {
         response.body().clear();
         response.erase(http::field::content_length);
-    } else if (!m_head || response.count(http::field::content_length) == 0) {
+    } else if (!m_isHead || response.count(http::field::content_length) == 0) {
         response.content_length(response.body().size());
     }
-    if (m_head) {
+    if (m_isHead) {
         response.body().clear();
     }
     m_connection.limitTime(m_connection.options().readTimeout);
@@ -234,18 +234,18 @@
 
 asio::awaitable<void> ServerExchange::sendStreamed(HttpResponse response, BodySource &rest)
 {
-    m_answered = true;
-    bool mine = m_connection.isFirst(*this);
-    if (!mine) {
-        mine = co_await m_connection.waitTurn(*this);
+    m_responded = true;
+    bool isTurn = m_connection.isFirst(*this);
+    if (!isTurn) {
+        isTurn = co_await m_connection.waitTurn(*this);
     }
-    if (!mine) {
+    if (!isTurn) {
         m_failed = true;
         co_return;
     }
     const auto length = rest.length();
     const bool chunked = !length && m_version >= 11;
-    m_keepAlive = keepsAfterAnswer() && (length || chunked);
+    m_keepAlive = keepsAfterResponse() && (length || chunked);
     if (!m_keepAlive) {
         m_connection.endWithAnswer();
     }
@@ -294,10 +294,10 @@
     co_return error;
 }
 
-asio::awaitable<ErrorCode> ServerExchange::refuse(RequestFault fault)
+asio::awaitable<ErrorCode> ServerExchange::refuse(RequestFault requestError)
 {
     m_connection.endWithAnswer();
-    auto response = makeErrorResponse(fault.status, "invalid", fault.message);
+    auto response = makeErrorResponse(requestError.status, "invalid", requestError.message);
     response.set(CallHeaders::Outcome, CallHeaders::NotRun);
     response.keep_alive(false);
     m_connection.limitTime(m_connection.options().readTimeout);
@@ -311,7 +311,7 @@
 
 bool ServerExchange::quiet() const
 {
-    return m_reader.done() || bodyUnasked();
+    return m_reader.done() || peerAwaitsContinue();
 }
 
 bool ServerExchange::keepsConnection() const
--- a/src/adapters/http/serverexchange.h
+++ b/src/adapters/http/serverexchange.h
@@ -7,8 +7,8 @@
 
 class HttpServerConnection;
 
-// One request on a connection of a server, and its answer. Several may be under
-// way on a connection; each sends its answer once those before it are sent.
+// One request on a connection of a server, and its response. A connection may have several
+// exchanges at a time; each sends its response after those of the earlier ones.
 class ServerExchange : public ServerConnection
 {
 public:
@@ -18,33 +18,33 @@
     ServerExchange(const ServerExchange &) = delete;
     ServerExchange &operator=(const ServerExchange &) = delete;
 
-    // Reads the request's header. A fault of unknown status says that the peer
-    // went away, so that nobody is left to answer.
+    // Reads the request's header. An error with status `unknown` means that the peer disconnected,
+    // so that no response can be sent.
     asio::awaitable<std::optional<RequestFault>> readHeader(HttpRequest &request);
 
-    // Reads the body as far as it is held; the rest is left to the handler.
+    // Reads the part of the body that is buffered; the handler reads the rest.
     asio::awaitable<std::optional<RequestFault>> readBody(HttpRequest &request);
 
-    // Sends the handler's answer, unless the handler has sent it itself.
+    // Sends the handler's response, unless the handler has already streamed one.
     asio::awaitable<void> answer(HttpResponse response);
 
-    // Sends the answer to a request that couldn't be read.
-    asio::awaitable<ErrorCode> refuse(RequestFault fault);
+    // Sends the error response to a request that couldn't be read.
+    asio::awaitable<ErrorCode> refuse(RequestFault requestError);
 
-    // The handler failed; what it had done by then isn't known.
+    // Makes the response for a handler that threw; the outcome of the request is unknown.
     HttpResponse handlerFailed(const std::string &reason);
 
-    // Whether the whole request has been read.
+    // Whether the request has been read completely.
     bool whole() const;
 
-    // Whether nothing more of the request is on its way: it is whole, or the
-    // peer waits to be asked for its body.
+    // Whether the peer sends nothing more of the request for now: it has been read completely, or
+    // the peer waits for 100 Continue.
     bool quiet() const;
 
-    // Whether the connection can carry another request behind this one.
+    // Whether the connection can carry another request after this one.
     bool keepsConnection() const;
 
-    // Whether an error has cut the connection in this request or its answer.
+    // Whether the connection failed while the request was read or its response sent.
     bool failed() const;
 
     bool peerClosed() override;
@@ -53,11 +53,10 @@
     BodySource *requestBody() override;
     asio::awaitable<void> sendStreamed(HttpResponse response, BodySource &rest) override;
 
-    // Whether the handler has the request, so that it may run.
+    // Whether the request has been passed to the handler.
     bool started = false;
 
-    // Wakes the exchange once it is the first in the line; set only if it has
-    // to wait.
+    // Wakes the exchange once it is the first of the pipeline; set only if it has to wait.
     std::optional<asio::steady_timer> turn;
 
 private:
@@ -65,10 +64,10 @@
 
     asio::awaitable<ErrorCode> sendContinue();
     asio::awaitable<ErrorCode> sendParts(std::string part, BodySource &rest, bool chunked);
-    std::optional<RequestFault> faultOf(const ErrorCode &error) const;
-    bool keepsAfterAnswer() const;
-    bool holdsBody() const;
-    bool bodyUnasked() const;
+    std::optional<RequestFault> requestErrorOf(const ErrorCode &error) const;
+    bool keepsAfterResponse() const;
+    bool buffersBody() const;
+    bool peerAwaitsContinue() const;
 
     HttpServerConnection &m_connection;
     TcpChannel &m_channel;
@@ -76,13 +75,13 @@
     Cancellation m_cancellation;
     std::unique_ptr<BodySource> m_body;
     unsigned m_version = 11;
-    bool m_head = false;
+    bool m_isHead = false;
     bool m_keepAlive = true;
     bool m_continueExpected = false;
-    // Length of the body while it is held.
-    std::uint64_t m_heldBytes = 0;
-    // The handler has sent the answer itself.
-    bool m_answered = false;
+    // Length of the buffered body; zero if it isn't buffered or its length is unknown.
+    std::uint64_t m_bufferedBytes = 0;
+    // Whether the handler has streamed the response itself.
+    bool m_responded = false;
     bool m_failed = false;
 };
 
--- a/src/adapters/http/sleep.h
+++ b/src/adapters/http/sleep.h
@@ -5,7 +5,7 @@
 
 namespace Galenahill {
 
-// Lets that time pass without blocking the thread.
+// Waits without blocking the thread.
 asio::awaitable<void> sleepFor(asio::io_context &context, Milliseconds time);
 
 }
--- a/src/adapters/http/tcpchannel.cpp
+++ b/src/adapters/http/tcpchannel.cpp
@@ -4,8 +4,8 @@
 
 namespace Galenahill {
 
-TcpChannel::TcpChannel(Tcp::socket given, std::atomic<std::uint64_t> &bytes)
-    : socket(std::move(given))
+TcpChannel::TcpChannel(Tcp::socket connected, std::atomic<std::uint64_t> &bytes)
+    : socket(std::move(connected))
     , m_bytes(bytes)
 {
     deadline.expire = [this] { abort(); };
@@ -78,8 +78,8 @@
     if (deadline.passed()) {
         co_return asio::error::timed_out;
     }
-    const auto room = buffer.max_size() - buffer.size();
-    if (room == 0) {
+    const auto freeBytes = buffer.max_size() - buffer.size();
+    if (freeBytes == 0) {
         co_return make_error_code(boost::system::errc::no_buffer_space);
     }
     ErrorCode error;
@@ -87,13 +87,13 @@
         co_await socket.async_wait(Tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
     }
     if (error) {
-        co_return reasonOf(error);
+        co_return errorOrTimeout(error);
     }
-    const auto space = buffer.prepare(std::min<std::size_t>(room, 4096));
+    const auto space = buffer.prepare(std::min<std::size_t>(freeBytes, 4096));
     const auto count = co_await socket.async_read_some(space, asio::redirect_error(asio::use_awaitable, error));
     buffer.commit(count);
     m_bytes += count;
-    co_return reasonOf(error);
+    co_return errorOrTimeout(error);
 }
 
 asio::awaitable<ErrorCode> TcpChannel::waitWritable()
@@ -103,10 +103,10 @@
     }
     ErrorCode error;
     co_await socket.async_wait(Tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
-    co_return reasonOf(error);
+    co_return errorOrTimeout(error);
 }
 
-ErrorCode TcpChannel::reasonOf(const ErrorCode &error) const
+ErrorCode TcpChannel::errorOrTimeout(const ErrorCode &error) const
 {
     const bool timedOut = error && deadline.passed();
     return timedOut ? ErrorCode(asio::error::timed_out) : error;
--- a/src/adapters/http/tcpchannel.h
+++ b/src/adapters/http/tcpchannel.h
@@ -11,11 +11,11 @@
 
 namespace Galenahill {
 
-// Most bytes of one connection that are held in memory for reading ahead.
+// Capacity of a connection's read buffer.
 inline constexpr std::size_t ReadAheadBytes = 16 * 1024;
 
-// One TCP connection with its read buffer and deadline. Tries each read and
-// write at once and waits only when the kernel asks it to.
+// One TCP connection with its read buffer and deadline. Writes are tried immediately and wait only
+// if the socket would block.
 class TcpChannel
 {
 public:
@@ -28,45 +28,44 @@
     boost::beast::flat_buffer buffer{ReadAheadBytes};
     Deadline deadline;
 
-    // Prepares a connected socket: not blocking, no delay.
+    // Makes a connected socket non-blocking and sets TCP_NODELAY.
     void prepare();
 
-    // Breaks the connection when bytes that were sent stay unacknowledged for
-    // so long: a peer that lost power or is cut off never answers, and never
-    // resets the connection either.
+    // Breaks the connection when sent bytes stay unacknowledged for that time (TCP_USER_TIMEOUT): a
+    // peer that lost power or its network never acknowledges them, and never resets the connection.
     void limitUnacked(Milliseconds time);
 
-    // Probes the quiet connection each second, and breaks it when two probes
-    // in a row stay unanswered: a wait for an answer that may come late, such
-    // as a watch, would else outlast its peer by minutes.
+    // Sends keep-alive probes every second while there is no traffic, and breaks the connection
+    // after two unanswered ones. Otherwise a long wait for a response, such as a watch, would
+    // outlast its peer by minutes.
     void probeWhenQuiet();
 
-    // Ends the waiting operations with an error.
+    // Ends the pending operations with an error.
     void abort();
 
-    // Closes the connection; the peer sees it at once.
+    // Shuts down and closes the connection immediately.
     void close();
 
-    // Whether the peer has closed its side. Reads nothing.
+    // Whether the peer has closed its side. Consumes no bytes.
     bool peerClosed();
 
-    // Whether anything can be read now, the peer's close counted.
+    // Whether a read would return immediately, with bytes, the peer's close or an error.
     bool readable();
 
-    // Frees an empty buffer. Most connections of a large fleet are idle, and their
-    // buffers would be most of a node's memory.
+    // Frees the buffer if it is empty. Most connections of a large fleet are idle, and their buffers
+    // would take most of a node's memory.
     void releaseBuffer();
 
-    // Appends what arrives to the buffer; one that was freed is made anew only then.
-    // Error `timed_out` when the deadline passed, `no_buffer_space` when the buffer is
-    // full.
+    // Waits for bytes and appends them to the buffer; a freed buffer is allocated only when they
+    // arrive. Fails with `timed_out` if the deadline has passed, and with `no_buffer_space` if the
+    // buffer is full.
     asio::awaitable<ErrorCode> readMore();
 
-    // Writes all of the buffers.
+    // Writes all bytes of the buffers.
     template <typename Buffers>
     asio::awaitable<ErrorCode> write(const Buffers &buffers);
 
-    // Writes a whole message, or its header alone.
+    // Writes a complete message, or only its header.
     template <typename Message>
     asio::awaitable<ErrorCode> writeMessage(Message &message);
     template <typename Message>
@@ -76,7 +75,7 @@
     template <typename Serializer>
     ErrorCode writeNext(Serializer &serializer);
     asio::awaitable<ErrorCode> waitWritable();
-    ErrorCode reasonOf(const ErrorCode &error) const;
+    ErrorCode errorOrTimeout(const ErrorCode &error) const;
 
     std::atomic<std::uint64_t> &m_bytes;
 };
@@ -84,12 +83,12 @@
 template <typename Buffers>
 asio::awaitable<ErrorCode> TcpChannel::write(const Buffers &buffers)
 {
-    boost::beast::buffers_suffix<Buffers> left(buffers);
-    while (boost::asio::buffer_size(left) > 0) {
+    boost::beast::buffers_suffix<Buffers> remaining(buffers);
+    while (boost::asio::buffer_size(remaining) > 0) {
         ErrorCode error;
-        const auto count = socket.write_some(left, error);
+        const auto count = socket.write_some(remaining, error);
         m_bytes += count;
-        left.consume(count);
+        remaining.consume(count);
         if (error == asio::error::would_block) {
             error = co_await waitWritable();
         }
--- a/src/adapters/log/jsonlogger.h
+++ b/src/adapters/log/jsonlogger.h
@@ -6,18 +6,16 @@
 
 namespace Galenahill {
 
-// A logger that writes one JSON object a line to standard output, with the
-// time in milliseconds since the epoch, the steady clock's time since the start,
-// which orders the lines of one process whatever happens to the time of day, the
-// level, the event and its fields.
-// Events below the level are dropped. Usable from any thread.
+// Makes a logger that writes one JSON object per line to standard output: the time in milliseconds
+// since the epoch, the monotonic clock's time since the start, which orders the lines of a process
+// even if the system clock is set, the level, the event and its fields.
+// Events below the minimum level are ignored. Usable from any thread.
 //
-// It never waits: of each event only so many lines a second are written, and
-// lines for which the reader leaves no room are dropped. Each line says in
-// "dropped" how many were lost since the one before it.
-Logger jsonLogger(std::string node, LogLevel least);
+// It never blocks: the lines of each event are rate-limited, and lines are dropped while the reader
+// of the output is too slow. The next line states in "dropped" how many were lost before it.
+Logger jsonLogger(std::string node, LogLevel minLevel);
 
-// The level of that name; info if there is none such.
+// The level of that name; Info if the name is unknown.
 LogLevel logLevelOf(const std::string &name);
 
 }
--- a/src/adapters/platform/budgetedstore.cpp
+++ b/src/adapters/platform/budgetedstore.cpp
@@ -15,9 +15,9 @@
 class BudgetedStore::Private
 {
 public:
-    explicit Private(Options given)
-        : options(given)
-        , budget(given.budget)
+    explicit Private(Options storeOptions)
+        : options(storeOptions)
+        , budget(storeOptions.budget)
     {
     }
 
@@ -25,11 +25,11 @@
     std::mutex mutex;
     StoreBudget budget;
 
-    template <typename Ask>
-    Milliseconds ask(Ask question)
+    template <typename Function>
+    Milliseconds withBudget(Function function)
     {
         const std::lock_guard lock(mutex);
-        return question(budget);
+        return function(budget);
     }
 };
 
@@ -48,14 +48,14 @@
     }
 }
 
-void BudgetedStore::pauseUpTo(Milliseconds most)
+void BudgetedStore::pauseUpTo(Milliseconds maxTime)
 {
-    pause(d->ask([&](StoreBudget &budget) { return budget.jitter(most); }));
+    pause(d->withBudget([&](StoreBudget &budget) { return budget.jitter(maxTime); }));
 }
 
 Milliseconds BudgetedStore::backOff()
 {
-    const auto time = d->ask([](StoreBudget &budget) { return budget.failed(); });
+    const auto time = d->withBudget([](StoreBudget &budget) { return budget.failed(); });
     pause(time);
     return time;
 }
@@ -68,31 +68,31 @@
 
 Result<StoredObject> BudgetedStore::read(const std::string &key)
 {
-    pause(d->ask([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
+    pause(d->withBudget([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
     return d->options.store.read(key);
 }
 
 Result<ObjectVersion> BudgetedStore::write(const std::string &key, const std::string &value, ObjectVersion expected)
 {
-    pause(d->ask([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
+    pause(d->withBudget([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
     return d->options.store.write(key, value, expected);
 }
 
 Result<void> BudgetedStore::remove(const std::string &key, ObjectVersion expected)
 {
-    pause(d->ask([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
+    pause(d->withBudget([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
     return d->options.store.remove(key, expected);
 }
 
 Result<std::vector<std::string>> BudgetedStore::list(const std::string &prefix)
 {
-    pause(d->ask([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
+    pause(d->withBudget([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
     return d->options.store.list(prefix);
 }
 
 Result<StoredObject> BudgetedStore::watch(const std::string &key, ObjectVersion known, Milliseconds timeLimit)
 {
-    pause(d->ask([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
+    pause(d->withBudget([](StoreBudget &budget) { return budget.reserve(Clock::now()); }));
     return d->options.store.watch(key, known, timeLimit);
 }
 
--- a/src/adapters/platform/budgetedstore.h
+++ b/src/adapters/platform/budgetedstore.h
@@ -9,8 +9,8 @@
 
 namespace Galenahill {
 
-// The store as the node's standing work sees it: each call waits until the
-// budget allows it. Usable from several threads.
+// Rate-limited access to the store for the node's background work: each call waits until the budget
+// allows it. Usable from several threads.
 class BudgetedStore : public ObjectStore
 {
 public:
@@ -18,7 +18,7 @@
     {
         ObjectStore &store;
         StoreBudget::Options budget;
-        // Ends waits when it becomes true.
+        // Ends all waits when it becomes true.
         const std::atomic<bool> &stopping;
     };
 
@@ -31,16 +31,16 @@
     Result<std::vector<std::string>> list(const std::string &prefix) override;
     Result<StoredObject> watch(const std::string &key, ObjectVersion known, Milliseconds timeLimit) override;
 
-    // Waits out the backoff after a failure; gives its length.
+    // Waits for the backoff time after a failure and returns it.
     Milliseconds backOff();
 
-    // A call succeeded; the next failure begins with a short backoff.
+    // Resets the backoff after a successful call.
     void succeeded();
 
-    // Waits for a random time of up to the one given.
-    void pauseUpTo(Milliseconds most);
+    // Waits for a random time up to the given one.
+    void pauseUpTo(Milliseconds maxTime);
 
-    // Waits; less if the node stops.
+    // Waits for that time, or until the node stops.
     void pause(Milliseconds time);
 
 private:
--- a/src/adapters/platform/documentobjectstore.cpp
+++ b/src/adapters/platform/documentobjectstore.cpp
@@ -11,37 +11,37 @@
 
 using Json = nlohmann::json;
 
-// How often a blocked call looks whether it should stop.
+// How often a blocked call checks whether it should stop.
 constexpr Milliseconds StopCheckInterval{100};
 
-// Kinds of the product's own begin so, since the platform has kinds as well.
+// Prefix of the project's kinds, since the platform has kinds of its own.
 constexpr const char *KindPrefix = "galenahill";
 
 constexpr const char *TextField = "text";
 constexpr const char *StampField = "stamp";
 
-// A key as the store has it.
-struct Place
+// Kind and name of the document for a key.
+struct DocumentId
 {
     std::string kind;
     std::string name;
 };
 
-Place placeOf(const std::string &key)
+DocumentId documentIdOf(const std::string &key)
 {
-    Place place{.kind = KindPrefix, .name = {}};
+    DocumentId id{.kind = KindPrefix, .name = {}};
     std::size_t begin = 0;
     for (auto slash = key.find('/'); slash != std::string::npos; slash = key.find('/', begin)) {
-        place.kind += "-" + key.substr(begin, slash - begin);
+        id.kind += "-" + key.substr(begin, slash - begin);
         begin = slash + 1;
     }
-    place.name = key.substr(begin);
-    return place;
+    id.name = key.substr(begin);
+    return id;
 }
 
-// The stamp makes each write a change. To the store, the same content again is
-// none, and the version stays; a collector that expects the version it saw would
-// then remove a text that has just been written anew.
+// The random stamp makes each write a change. The store ignores a write of the same content and
+// keeps its version, so a collector that removes the version it has seen would delete a text that
+// has just been written again.
 std::string contentOf(const std::string &value)
 {
     thread_local std::mt19937_64 random{std::random_device()()};
@@ -53,7 +53,7 @@
     const auto json = Json::parse(document.content, nullptr, false);
     const auto text = json.is_object() ? json.find(TextField) : json.end();
     if (text == json.end() || !text->is_string()) {
-        return failure(ErrorKind::Corrupt, "store: " + document.name + " has no text; another program wrote it, restore it from a backup");
+        return failure(ErrorKind::Corrupt, "store: " + document.name + " has no text field; another program wrote it, restore it from a backup");
     }
     return StoredObject{text->get<std::string>(), document.version};
 }
@@ -67,7 +67,7 @@
     std::atomic<bool> stopped = false;
     std::atomic<std::uint64_t> calls = 0;
 
-    // Runs the call on a context of its own and waits for it.
+    // Runs the call on its own I/O context and waits for its result.
     template <typename Value>
     Result<Value> run(const std::string &key, const std::function<asio::awaitable<Result<Value>>(DocumentStore &)> &call)
     {
@@ -104,32 +104,32 @@
 
 Result<StoredObject> DocumentObjectStore::read(const std::string &key)
 {
-    const auto place = placeOf(key);
-    auto document = d->run<StoredDocument>(key, [&](DocumentStore &store) { return store.read(place.kind, place.name); });
+    const auto id = documentIdOf(key);
+    auto document = d->run<StoredDocument>(key, [&](DocumentStore &store) { return store.read(id.kind, id.name); });
     if (document) {
         return objectOf(*document);
     }
-    // A read changes nothing, so a lost answer is no unknown outcome.
+    // A read changes nothing, so a lost response leaves no unknown outcome.
     const bool lost = document.error().kind == ErrorKind::OutcomeUnknown;
     return failure(lost ? ErrorKind::Unavailable : document.error().kind, document.error().message);
 }
 
 Result<ObjectVersion> DocumentObjectStore::write(const std::string &key, const std::string &value, ObjectVersion expected)
 {
-    const auto place = placeOf(key);
-    return d->run<ObjectVersion>(key, [&](DocumentStore &store) { return store.write(place.kind, place.name, contentOf(value), expected); });
+    const auto id = documentIdOf(key);
+    return d->run<ObjectVersion>(key, [&](DocumentStore &store) { return store.write(id.kind, id.name, contentOf(value), expected); });
 }
 
 Result<void> DocumentObjectStore::remove(const std::string &key, ObjectVersion expected)
 {
-    const auto place = placeOf(key);
-    return d->run<void>(key, [&](DocumentStore &store) { return store.remove(place.kind, place.name, expected); });
+    const auto id = documentIdOf(key);
+    return d->run<void>(key, [&](DocumentStore &store) { return store.remove(id.kind, id.name, expected); });
 }
 
 Result<std::vector<std::string>> DocumentObjectStore::list(const std::string &prefix)
 {
-    const auto place = placeOf(prefix);
-    const auto set = d->run<DocumentSet>(prefix, [&](DocumentStore &store) { return store.list(place.kind); });
+    const auto id = documentIdOf(prefix);
+    const auto set = d->run<DocumentSet>(prefix, [&](DocumentStore &store) { return store.list(id.kind); });
     if (!set) {
         return failure(ErrorKind::Unavailable, set.error().message);
     }
@@ -142,8 +142,8 @@
 
 namespace {
 
-// The last state of the named document among those that changed, if any.
-std::optional<StoredDocument> lastOf(const DocumentSet &set, const std::string &name)
+// The latest state of the named document in a set of changes, if any.
+std::optional<StoredDocument> latestOf(const DocumentSet &set, const std::string &name)
 {
     std::optional<StoredDocument> last;
     for (const auto &document : set.documents) {
@@ -154,41 +154,41 @@
     return last;
 }
 
-// Waits until the document has another version than the known one.
-asio::awaitable<Result<StoredDocument>> awaitChange(DocumentStore &store, Place place, ObjectVersion known, TimePoint until)
+// Waits until the document's version differs from the known one.
+asio::awaitable<Result<StoredDocument>> awaitChange(DocumentStore &store, DocumentId id, ObjectVersion known, TimePoint until)
 {
     auto from = known;
     while (Clock::now() < until) {
-        // Without a version to go on from, or with its history gone, the state
-        // itself tells.
-        const bool lists = from == ObjectVersion();
+        // Lists the documents if there is no version to watch from, or the store no longer has the
+        // changes since then.
+        const bool needsList = from == ObjectVersion();
         const auto left = std::chrono::duration_cast<Milliseconds>(until - Clock::now());
-        auto asking = lists ? store.list(place.kind) : store.watch(place.kind, from, std::max(left, Milliseconds(1)));
-        const auto set = co_await std::move(asking);
+        auto pending = needsList ? store.list(id.kind) : store.watch(id.kind, from, std::max(left, Milliseconds(1)));
+        const auto set = co_await std::move(pending);
         if (!set && set.error().kind != ErrorKind::NotFound) {
             co_return tl::unexpected(set.error());
         }
         from = set ? set->version : ObjectVersion();
-        auto document = set ? lastOf(*set, place.name) : std::nullopt;
+        auto document = set ? latestOf(*set, id.name) : std::nullopt;
         if (document && document->version != known) {
             co_return std::move(*document);
         }
     }
-    co_return failure(ErrorKind::NotFound, "nothing changed in time");
+    co_return failure(ErrorKind::NotFound, "no change within the time limit");
 }
 
 }
 
 Result<StoredObject> DocumentObjectStore::watch(const std::string &key, ObjectVersion known, Milliseconds timeLimit)
 {
-    const auto place = placeOf(key);
+    const auto id = documentIdOf(key);
     const auto until = Clock::now() + timeLimit;
-    const auto document = d->run<StoredDocument>(key, [&](DocumentStore &store) { return awaitChange(store, place, known, until); });
+    const auto document = d->run<StoredDocument>(key, [&](DocumentStore &store) { return awaitChange(store, id, known, until); });
     if (document) {
         return objectOf(*document);
     }
-    const bool nothing = document.error().kind == ErrorKind::NotFound;
-    return failure(nothing ? ErrorKind::NotFound : ErrorKind::Unavailable, document.error().message);
+    const bool unchanged = document.error().kind == ErrorKind::NotFound;
+    return failure(unchanged ? ErrorKind::NotFound : ErrorKind::Unavailable, document.error().message);
 }
 
 void DocumentObjectStore::stop()
--- a/src/adapters/platform/documentobjectstore.h
+++ b/src/adapters/platform/documentobjectstore.h
@@ -10,10 +10,10 @@
 
 namespace Galenahill {
 
-// Objects by key in a store of documents by kind and name, for threads that may
-// block. The last part of a key is the name, what stands before it the kind. A
-// value is any text; its document holds it as one JSON string. Usable from several
-// threads: each call has an I/O context and a connection of its own.
+// Maps objects with keys to documents with kinds and names, for threads that may block. The last
+// part of a key becomes the name, the parts before it the kind. A value is any text; the document
+// contains it as a JSON string. Usable from several threads: each call has its own I/O context and
+// connection.
 class DocumentObjectStore : public ObjectStore
 {
 public:
@@ -28,10 +28,10 @@
     Result<std::vector<std::string>> list(const std::string &prefix) override;
     Result<StoredObject> watch(const std::string &key, ObjectVersion known, Milliseconds timeLimit) override;
 
-    // Ends waiting calls and refuses further ones.
+    // Ends pending calls and rejects further ones.
     void stop();
 
-    // Calls made, watches included.
+    // Number of calls made, including watches.
     std::uint64_t calls() const;
 
 private:
--- a/src/adapters/platform/documentstore.h
+++ b/src/adapters/platform/documentstore.h
@@ -9,41 +9,39 @@
 
 namespace Galenahill {
 
-// One document of the platform's store, as read or as a change of it.
+// One document of the platform's store, either its state or one change of it.
 struct StoredDocument
 {
     std::string name;
-    // JSON text that its writer put in.
+    // JSON text.
     std::string content;
     bool removed = false;
     // The store's version at its last change.
     ObjectVersion version;
-    // JSON text that the product put beside the content; empty: none.
+    // JSON text that the project stores beside the content; empty: none.
     std::string status;
     // The store's version at its creation.
     ObjectVersion created;
 };
 
-// Whether an answer may be some seconds old, which costs the store less.
+// Whether a response may be some seconds out of date, which costs the store less.
 enum class Freshness {
     Latest,
     MayBeStale,
 };
 
-// Documents of one kind at one moment, or those that changed up to it.
+// All documents of a kind at one version of the store, or the changes up to that version.
 struct DocumentSet
 {
     std::vector<StoredDocument> documents;
-    // The store's version at that moment, from which a watch goes on.
+    // The store's version, from which a watch can continue.
     ObjectVersion version;
 };
 
-// The platform's store seen as documents by kind and name. Waits without
-// blocking the thread.
+// The platform's store of documents with kinds and names. Waits without blocking the thread.
 //
-// Errors: Unavailable if the call wasn't done, OutcomeUnknown if a write may
-// have been done or may still be, Conflict if the document isn't at the expected
-// version.
+// Errors: Unavailable if the call wasn't executed, OutcomeUnknown if a write may have been executed
+// or may still be, Conflict if the document doesn't have the expected version.
 class DocumentStore
 {
 public:
@@ -52,30 +50,29 @@
     // All documents of the kind.
     virtual asio::awaitable<Result<DocumentSet>> list(std::string kind, Freshness freshness = Freshness::Latest) = 0;
 
-    // Waits for changes of the kind's documents after that version; an empty
-    // set if there were none in time. NotFound if the store no longer knows
-    // the changes: list the kind again.
+    // Waits for changes of the kind's documents after that version; the set is empty if there were
+    // none within the time limit. NotFound if the store no longer has the changes; the kind must
+    // then be listed again.
     virtual asio::awaitable<Result<DocumentSet>> watch(std::string kind, ObjectVersion after, Milliseconds timeLimit) = 0;
 
     // One document; NotFound if there is none.
     virtual asio::awaitable<Result<StoredDocument>> read(std::string kind, std::string name) = 0;
 
-    // Replaces the content if the document still has the expected version, or
-    // creates it if that is zero; gives the new version.
+    // Replaces the content if the document still has the expected version, or creates the document if
+    // that is zero; returns the new version.
     virtual asio::awaitable<Result<ObjectVersion>> write(std::string kind, std::string name, std::string content, ObjectVersion expected) = 0;
 
     // Creates the document or replaces its content.
     virtual asio::awaitable<Result<void>> put(std::string kind, std::string name, std::string content) = 0;
 
-    // Replaces the status beside the content if the document still has the expected
-    // version; gives the new one.
+    // Replaces the status beside the content if the document still has the expected version; returns
+    // the new version.
     virtual asio::awaitable<Result<ObjectVersion>> writeStatus(std::string kind, std::string name, std::string status, ObjectVersion expected) = 0;
 
-    // Removes the document, if it still has the expected version; zero: whatever
-    // it has.
+    // Removes the document if it still has the expected version; zero removes any version.
     virtual asio::awaitable<Result<void>> remove(std::string kind, std::string name, ObjectVersion expected = ObjectVersion()) = 0;
 
-    // Calls made so far.
+    // Number of calls made.
     virtual std::uint64_t calls() const = 0;
 };
 
--- a/src/adapters/process/heaptuning.cpp
+++ b/src/adapters/process/heaptuning.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Blocks of this size and more are mapped on their own: short-lived texts of a
-// configuration would leave holes in the heap. Fixed, since the C library raises its
-// threshold with each such block that is freed.
+// Blocks of at least this size get a mapping of their own, since short-lived configuration texts
+// would fragment the heap. Setting the threshold keeps the C library from raising it when such a
+// block is freed.
 constexpr int MapThresholdBytes = 64 * 1024;
 
-// Free memory that is kept at the heap's end, and taken at a time.
+// Free memory kept at the top of the heap, and the padding requested when the heap grows.
 constexpr int KeptFreeBytes = 64 * 1024;
 constexpr int GrowthBytes = 16 * 1024;
 
--- a/src/adapters/process/heaptuning.h
+++ b/src/adapters/process/heaptuning.h
@@ -2,8 +2,8 @@
 
 namespace Galenahill {
 
-// Makes the C library give large blocks back as soon as they are freed. Call it
-// before anything large is allocated.
+// Makes the C library return large blocks to the system as soon as they are freed. Must be called
+// before any large allocation.
 void tuneHeap();
 
 }
--- a/src/adapters/rpc/rpcclient.cpp
+++ b/src/adapters/rpc/rpcclient.cpp
@@ -37,7 +37,7 @@
 
 RpcAnswer RpcClient::call(const std::string &method, const std::string &params)
 {
-    RpcAnswer answer;
+    RpcAnswer response;
     Json::Value input;
     std::istringstream stream(params);
     std::string errors;
@@ -46,13 +46,13 @@
         const auto result = d->client.CallMethod(method, input);
         Json::StreamWriterBuilder builder;
         builder["indentation"] = "";
-        answer.result = Json::writeString(builder, result);
-        answer.ok = true;
+        response.result = Json::writeString(builder, result);
+        response.ok = true;
     } catch (const jsonrpc::JsonRpcException &error) {
-        answer.errorCode = error.GetCode();
-        answer.errorMessage = error.GetMessage();
+        response.errorCode = error.GetCode();
+        response.errorMessage = error.GetMessage();
     }
-    return answer;
+    return response;
 }
 
 }
--- a/src/adapters/rpc/rpcserver.cpp
+++ b/src/adapters/rpc/rpcserver.cpp
@@ -72,13 +72,12 @@
 
 std::string RpcServer::handle(const std::string &request)
 {
-    // jsoncpp throws on text that nests too deep, and libjsonrpccpp lets that
-    // pass; the caller would get no answer and the connection's handler would
-    // end by the exception.
+    // jsoncpp throws on text that is nested too deeply, and libjsonrpccpp doesn't catch that. The
+    // caller would get no response, and the exception would end the connection's handler.
     try {
-        std::string answer;
-        d->protocol->HandleRequest(request, answer);
-        return answer;
+        std::string response;
+        d->protocol->HandleRequest(request, response);
+        return response;
     } catch (const std::exception &) {
         return ParseError;
     }
--- a/src/adapters/rpc/rpcserver.h
+++ b/src/adapters/rpc/rpcserver.h
@@ -9,19 +9,19 @@
 
 namespace Galenahill {
 
-// Answers JSON-RPC 2.0 requests through libjsonrpccpp. Transport is the
-// caller's: text in, text out.
+// A JSON-RPC 2.0 server based on libjsonrpccpp. The caller provides the transport and passes the
+// text of requests and responses.
 class RpcServer
 {
 public:
-    // Takes the params object and gives the result, both as JSON text.
+    // Receives the params object and returns the result, both as JSON text.
     using Method = std::function<Result<std::string>(const std::string &params)>;
 
     explicit RpcServer(std::map<std::string, Method> methods);
     ~RpcServer();
 
-    // The answer to one request. A method's failure becomes a JSON-RPC error
-    // whose code is rpcErrorCode of its kind. Usable from several threads.
+    // Returns the response to one request. An error of the method becomes a JSON-RPC error with the
+    // code rpcErrorCode(kind). Usable from several threads.
     std::string handle(const std::string &request);
 
 private:
@@ -29,8 +29,7 @@
     std::unique_ptr<Private> d;
 };
 
-// The JSON-RPC error code of a kind, and back. Unknown codes give
-// Unavailable.
+// Convert between error kinds and JSON-RPC error codes. Unknown codes give Unavailable.
 int rpcErrorCode(ErrorKind kind);
 ErrorKind rpcErrorKind(int code);
 
--- a/src/adapters/udp/datagramsocket.cpp
+++ b/src/adapters/udp/datagramsocket.cpp
@@ -27,14 +27,14 @@
     std::atomic<std::uint64_t> datagrams = 0;
     std::minstd_rand random{std::random_device()()};
 
-    bool dropped()
+    bool shouldDrop()
     {
         return options.dropPercent > 0 && std::uniform_int_distribution<std::uint32_t>(0, 99)(random) < options.dropPercent;
     }
 
     asio::awaitable<void> receive()
     {
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         while (socket.is_open()) {
             Udp::endpoint sender;
             ErrorCode error;
@@ -42,7 +42,7 @@
             if (error == asio::error::operation_aborted || !socket.is_open()) {
                 co_return;
             }
-            // Other errors report that an earlier datagram found no receiver.
+            // Other errors report that an earlier datagram could not be delivered.
             if (!error) {
                 bytes += count;
                 ++datagrams;
@@ -72,8 +72,8 @@
         d->socket.bind(endpoint, error);
     }
     if (error) {
-        return failure(ErrorKind::Invalid,
-            fmt::format("{}: can't open for datagrams: {}; give a free address of this VM", toString(d->options.endpoint), error.message()));
+        return failure(
+            ErrorKind::Invalid, fmt::format("{}: can't open UDP socket: {}; use a free address of this VM", toString(d->options.endpoint), error.message()));
     }
     asio::co_spawn(d->context, d->receive(), asio::detached);
     return {};
@@ -84,7 +84,7 @@
     asio::post(d->context, [d = d, to, bytes = std::move(bytes)] {
         ErrorCode error;
         const auto address = asio::ip::make_address(to.address, error);
-        if (error || !d->socket.is_open() || d->dropped()) {
+        if (error || !d->socket.is_open() || d->shouldDrop()) {
             return;
         }
         ++d->datagrams;
--- a/src/adapters/udp/datagramsocket.h
+++ b/src/adapters/udp/datagramsocket.h
@@ -18,20 +18,19 @@
     {
         Endpoint endpoint;
         std::function<void(const Endpoint &from, std::string bytes)> received;
-        // Longer datagrams are cut off.
+        // Longer datagrams are truncated.
         std::size_t maxDatagramBytes = 65536;
-        // Share of datagrams that is dropped instead of sent, in percent; for
-        // experiments with a lossy network.
+        // Percentage of datagrams that are dropped instead of sent; for simulating a lossy network.
         std::uint32_t dropPercent = 0;
     };
 
     DatagramSocket(asio::io_context &context, Options options);
     ~DatagramSocket();
 
-    // Binds and starts to receive. Invalid if the address is taken.
+    // Binds and starts to receive. Invalid if the address is not available.
     Result<void> open();
 
-    // Sends one datagram; a failure counts as a lost datagram.
+    // Sends one datagram; if that fails, the datagram is lost.
     void send(const Endpoint &to, std::string bytes);
 
     void close();
