--- a/autotests/unit/linedifftest.cpp
+++ b/autotests/unit/linedifftest.cpp
@@ -10,7 +10,7 @@
     BOOST_TEST(lineDiff("a\nb\n", "a\nb\n").empty());
 }
 
-BOOST_AUTO_TEST_CASE(MarksChangedLinesWithThreeAround)
+BOOST_AUTO_TEST_CASE(ShowsThreeLinesOfContext)
 {
     BOOST_TEST(lineDiff("1\n2\n3\n4\n5\n6\n7\n8\n", "1\n2\n3\n4\nfive\n6\n7\n8\n") == " 2\n 3\n 4\n-5\n+five\n 6\n 7\n 8\n");
     BOOST_TEST(lineDiff("a\nb\n", "a\nx\nb\n") == " a\n+x\n b\n");
@@ -18,7 +18,7 @@
     BOOST_TEST(lineDiff("a\n", "") == "-a\n");
 }
 
-BOOST_AUTO_TEST_CASE(LeavesOutWhatIsFarFromChanges)
+BOOST_AUTO_TEST_CASE(LeavesOutDistantLines)
 {
     std::string left;
     for (int i = 0; i < 30; ++i) {
@@ -28,14 +28,14 @@
     BOOST_TEST(diff == "-x\n+X\n 0\n 1\n 2\n...\n 27\n 28\n 29\n-y\n+Y\n");
 }
 
-BOOST_AUTO_TEST_CASE(FindsRepeatedLines)
+BOOST_AUTO_TEST_CASE(ComparesRepeatedLines)
 {
     BOOST_TEST(lineDiff("a\na\nb\n", "a\nb\na\n") == " a\n-a\n b\n+a\n");
-    BOOST_TEST(lineDiff("a", "a\n") == "only the end of the last line differs\n");
+    BOOST_TEST(lineDiff("a", "a\n") == "the texts differ only in the newline at the end\n");
 }
 
-// Two files of the largest size with nothing in common: the table would take
-// gigabytes, so the whole counts as replaced.
+// The comparison table of two files of the largest size with nothing in common would take gigabytes,
+// so all lines count as replaced.
 BOOST_AUTO_TEST_CASE(BoundsItsMemory)
 {
     std::string left;
--- a/completions/galenahillctl.bash
+++ b/completions/galenahillctl.bash
@@ -1,6 +1,6 @@
-# Completion of galenahillctl for bash; source it, or install it as
-# /usr/share/bash-completion/completions/galenahillctl. The options come from
-# the command's own help, so they can't differ from it.
+# Bash completion for galenahillctl. Source this file or install it as
+# /usr/share/bash-completion/completions/galenahillctl. The options are read from the output of
+# --help, so they always match the installed program.
 _galenahillctl()
 {
     local word=${COMP_WORDS[COMP_CWORD]}
--- a/src/cli/burncommand.cpp
+++ b/src/cli/burncommand.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string table(const json &report)
+std::string formatTable(const json &report)
 {
     std::string text = fmt::format(
         "{:<24} {:>8} {:>10} {:>10} {:>8} {:>8} {:>12} {:>12}", "ROUTE", "MINUTES", "OBJECTIVE", "CALLS", "FAILED", "SLOW", "BURN FAILED", "BURN SLOW");
@@ -34,7 +34,7 @@
     }
     text += fmt::format("\nreports of {} nodes", report.at("nodes").get<std::size_t>());
     for (const auto &node : report.at("missing")) {
-        text += fmt::format("\npartial: {} gave no report", node.get<std::string>());
+        text += fmt::format("\npartial: no report from {}", node.get<std::string>());
     }
     return text;
 }
@@ -54,7 +54,7 @@
             return failure(ErrorKind::Invalid, options.plot + ": can't be written; give a path in a folder that you may write to");
         }
     }
-    fmt::print("{}\n", options.json ? report->dump() : table(*report));
+    fmt::print("{}\n", options.json ? report->dump() : formatTable(*report));
     return {};
 }
 
--- a/src/cli/burncommand.h
+++ b/src/cli/burncommand.h
@@ -4,8 +4,8 @@
 
 namespace Galenahill {
 
-// Prints the fleet's service-level burn as a table or JSON, and writes the
-// plot if asked to. Says which nodes gave no report.
+// Prints the error budget burn rates of the whole fleet as a table or as JSON, and writes the plot
+// if --plot is given. Names the nodes that sent no report.
 Result<void> burn(const CommandOptions &options);
 
 }
--- a/src/cli/burnplot.cpp
+++ b/src/cli/burnplot.cpp
@@ -15,8 +15,8 @@
 constexpr int BarWidth = 480;
 constexpr int RowHeight = 22;
 
-// At a burn of 10 a month's budget is gone in three days; bars end there.
-constexpr double FullBar = 10;
+// Bars are cut off here. A burn rate of 10 uses up a month's error budget in three days.
+constexpr double MaxShownBurn = 10;
 
 std::string escaped(const std::string &text)
 {
@@ -41,8 +41,8 @@
 
 std::string bar(int row, const std::string &label, double burn)
 {
-    const auto width = static_cast<int>(std::lround(std::min(burn, FullBar) / FullBar * BarWidth));
-    const char *colour = burn < 1 ? "#3a7d44" : burn < FullBar ? "#d98e04" : "#b3261e";
+    const auto width = static_cast<int>(std::lround(std::min(burn, MaxShownBurn) / MaxShownBurn * BarWidth));
+    const char *colour = burn < 1 ? "#3a7d44" : burn < MaxShownBurn ? "#d98e04" : "#b3261e";
     const int y = row * RowHeight;
     return fmt::format(
         "<text x=\"0\" y=\"{}\">{}</text><rect x=\"{}\" y=\"{}\" width=\"{}\" height=\"{}\" fill=\"{}\"/><text x=\"{}\" y=\"{}\">{:.2f}</text>\n",
@@ -68,7 +68,7 @@
         bars += bar(row++, name + " failed", figures.at("availability_burn").get<double>());
         bars += bar(row++, name + " slow", figures.at("latency_burn").get<double>());
     }
-    const int budgetLine = LabelWidth + static_cast<int>(BarWidth / FullBar);
+    const int budgetLine = LabelWidth + static_cast<int>(BarWidth / MaxShownBurn);
     return fmt::format("<h2>Last {} minutes</h2>\n<svg width=\"{}\" height=\"{}\" role=\"img\">\n{}<line x1=\"{}\" y1=\"0\" x2=\"{}\" y2=\"{}\" "
                        "stroke=\"#555\" stroke-dasharray=\"3\"/>\n</svg>\n",
         report.at("windows_minutes").at(window).get<int>(),
@@ -84,12 +84,12 @@
 
 std::string burnPlot(const json &report)
 {
-    std::string page = "<!DOCTYPE html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>Service-level burn</title>\n"
-                       "<style>body{font:14px sans-serif;margin:2em}svg text{font:13px sans-serif}</style>\n<h1>Service-level burn</h1>\n";
-    page += fmt::format("<p>Reports of {} nodes", report.at("nodes").get<std::size_t>());
+    std::string page = "<!DOCTYPE html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>Error budget burn rates</title>\n"
+                       "<style>body{font:14px sans-serif;margin:2em}svg text{font:13px sans-serif}</style>\n<h1>Error budget burn rates</h1>\n";
+    page += fmt::format("<p>Reports from {} nodes", report.at("nodes").get<std::size_t>());
     const auto missing = report.at("missing").size();
-    page += missing == 0 ? "." : fmt::format("; <strong>{} nodes gave none</strong>, so the figures are partial.", missing);
-    page += " The dashed line is a burn of 1: the error budget lasts exactly for the objective's period.</p>\n";
+    page += missing == 0 ? "." : fmt::format("; <strong>{} nodes sent none</strong>, so the figures are partial.", missing);
+    page += " The dashed line is a burn rate of 1: the error budget lasts exactly for the objective's period.</p>\n";
     for (std::size_t window = 0; window < report.at("windows_minutes").size(); ++window) {
         page += windowChart(report, window);
     }
--- a/src/cli/burnplot.h
+++ b/src/cli/burnplot.h
@@ -5,8 +5,8 @@
 
 namespace Galenahill {
 
-// An HTML page with one bar chart per window of the burn of each route, from
-// the result of the `burn` method. Needs no script and no network.
+// Renders the result of the RPC method `burn` as an HTML page: one bar chart per time window, with
+// the burn rates of each route. The page needs neither scripts nor network access.
 std::string burnPlot(const nlohmann::json &report);
 
 }
--- a/src/cli/callstory.h
+++ b/src/cli/callstory.h
@@ -10,26 +10,24 @@
 
 namespace Galenahill {
 
-// What the logs of several nodes say about one call and the calls that targets
-// made for it, in the order of time. The order holds where a node's time of day
-// stepped, and where clocks of nodes disagree; the table then says so.
+// The log lines of several nodes about one call and its nested calls, in order of time. The order is
+// right even if a node's wall clock stepped or the clocks of nodes differ; the table then reports it.
 class CallStory
 {
 public:
     explicit CallStory(std::string id);
 
-    // Takes the lines of one log. What stands before a line's JSON object is
-    // passed over; a line without a whole object is counted as unreadable.
+    // Adds the lines of one log. Text before a line's JSON object is ignored; a line without a
+    // complete object is counted as unreadable.
     void read(std::istream &log);
 
     bool empty() const;
     std::size_t unreadable() const;
 
-    // The lines as they were logged, and what is known of the nodes' clocks.
+    // The lines as they were logged, and the detected clock steps and differences per node.
     nlohmann::json json() const;
 
-    // One row a line: time since the first, node, event, and the inputs and
-    // outcome of the decision.
+    // One row per line: milliseconds since the first line, node, event, and the event's other fields.
     std::string table() const;
 
 private:
@@ -37,24 +35,25 @@
     {
         nlohmann::ordered_json fields;
         std::string node;
-        // Milliseconds on the node's clock, without its steps.
+        // Milliseconds on the node's wall clock, corrected for its steps.
         std::int64_t time = 0;
     };
 
     struct NodeClock
     {
         bool known = false;
-        // Time of day less steady clock at the start of the log, and last.
+        // Wall clock minus monotonic clock: on the node's first line (anew after a restart), and on
+        // its latest line.
         std::int64_t offset = 0;
         std::int64_t lastOffset = 0;
         std::int64_t lastUp = 0;
         std::size_t steps = 0;
     };
 
-    bool concerns(const nlohmann::json &line) const;
-    std::int64_t unsteppedTime(const nlohmann::ordered_json &line, const std::string &node);
-    std::map<std::string, std::int64_t> corrections() const;
-    std::vector<Line> ordered() const;
+    bool isAboutCall(const nlohmann::json &line) const;
+    std::int64_t timeWithoutSteps(const nlohmann::ordered_json &line, const std::string &node);
+    std::map<std::string, std::int64_t> clockCorrections() const;
+    std::vector<Line> orderedLines() const;
 
     std::string m_id;
     std::vector<Line> m_lines;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-// Log files of one call to explain; a shell line holds no more than a fleet's.
-constexpr std::size_t MaxLogs = 10000;
+// Most log files that `explain` accepts: as many as a fleet's, and more don't fit on a command line.
+constexpr std::size_t MaxLogFiles = 10000;
 
-constexpr Milliseconds WaitInterval{200};
+constexpr Milliseconds PollInterval{200};
 
-// The revision in force when an apply id was made, which stands before the
-// id's first dash. An id without it counts as made before the first revision,
-// so it can be used while no change is forgotten.
-std::uint64_t begunAt(const std::string &id)
+// Returns the revision that was in force when the apply id was generated, which is the id's part
+// before the first dash. An id without it counts as generated before the first revision, so it can
+// only be used while the history still holds every change.
+std::uint64_t revisionOfApplyId(const std::string &id)
 {
     return wholeNumber(id.substr(0, id.find('-'))).value_or(0);
 }
@@ -42,11 +42,12 @@
     return fmt::format("{}-{}", revision->at("revision").get<std::uint64_t>(), to_string(boost::uuids::random_generator()()));
 }
 
-void warnOfLeftOut(const json &result)
+void warnAboutOmittedChanges(const json &result)
 {
     for (const auto &change : result.at("left_out")) {
         fmt::print(stderr,
-            "warning: {}: the change of revision {} by {} (apply {}) was accepted on an outdated store and isn't in force; look at the file and apply it "
+            "warning: {}: the change of revision {} by {} (apply {}) was accepted while the store was outdated and is not in force; check the file and apply "
+            "it "
             "again\n",
             change.at("file").get<std::string>(),
             change.at("revision").get<std::uint64_t>(),
@@ -55,7 +56,7 @@
     }
 }
 
-// Prints JSON on request, else the text.
+// Prints the result as JSON if --json is given, else the text.
 Result<void> print(const CommandOptions &options, const json &result, const std::string &text)
 {
     fmt::print("{}\n", options.json ? result.dump() : text);
@@ -83,12 +84,12 @@
     return result;
 }
 
-Result<void> waitInForce(const CommandOptions &options, std::uint64_t revision)
+Result<void> waitUntilInForce(const CommandOptions &options, std::uint64_t revision)
 {
     NodeConnection node(options.node);
-    const auto until = Clock::now() + options.waitTime;
+    const auto deadline = Clock::now() + options.waitTime;
     FleetProgress last;
-    while (Clock::now() < until) {
+    while (Clock::now() < deadline) {
         const auto status = node.call("status", json::object());
         if (!status) {
             return tl::unexpected(status.error());
@@ -98,22 +99,21 @@
         if (last.inForce == last.live) {
             return {};
         }
-        std::this_thread::sleep_for(WaitInterval);
+        std::this_thread::sleep_for(PollInterval);
     }
-    return failure(
-        ErrorKind::Unavailable, fmt::format("accepted, but in force on {} of {} nodes only; look with 'galenahillctl status'", last.inForce, last.live));
+    return failure(ErrorKind::Unavailable, fmt::format("accepted, but in force on {} of {} nodes only; see 'galenahillctl status'", last.inForce, last.live));
 }
 
 Result<void> changeFile(const CommandOptions &options, json params)
 {
     NodeConnection node(options.node);
-    const auto made = options.applyId.empty() ? newApplyId(node) : Result<std::string>(options.applyId);
-    if (!made) {
-        return failure(made.error().kind, "not accepted: " + made.error().message);
+    const auto newId = options.applyId.empty() ? newApplyId(node) : Result<std::string>(options.applyId);
+    if (!newId) {
+        return failure(newId.error().kind, "not accepted: " + newId.error().message);
     }
-    const auto &id = *made;
+    const auto &id = *newId;
     params["apply"] = id;
-    params["begun_at"] = begunAt(id);
+    params["begun_at"] = revisionOfApplyId(id);
     params["repeated"] = !options.applyId.empty();
     params["operator"] = options.operatorName;
     params["based_on"] = options.basedOn;
@@ -121,15 +121,18 @@
     if (!result) {
         const bool unknown = result.error().kind == ErrorKind::OutcomeUnknown;
         return failure(result.error().kind,
-            unknown ? fmt::format(
-                "{}\napply id {}: settle it with 'galenahillctl outcome {}', or repeat the command with --apply-id={}", result.error().message, id, id, id)
+            unknown ? fmt::format("{}\napply id {}: query the outcome with 'galenahillctl outcome {}', or repeat the command with --apply-id={}",
+                result.error().message,
+                id,
+                id,
+                id)
                     : result.error().message);
     }
     (*result)["apply"] = id;
-    warnOfLeftOut(*result);
+    warnAboutOmittedChanges(*result);
     const auto revision = result->at("revision").get<std::uint64_t>();
     if (options.wait) {
-        if (const auto waited = waitInForce(options, revision); !waited) {
+        if (const auto waited = waitUntilInForce(options, revision); !waited) {
             return waited;
         }
     }
@@ -269,7 +272,7 @@
         {"burn", {"burn", "Shows how fast each route uses up its error budget", 0, 0, {"plot"}, burn}},
         {"check", {"check FILE", "Says whether a file would be accepted now, and changes nothing", 1, 1, {"name"}, check}},
         {"diff", {"diff [FILE]", "Compares a file with the one in force, or two revisions", 0, 1, {"name", "revision"}, diff}},
-        {"explain", {"explain ID [LOG...]", "Tells from nodes' logs what became of a call", 1, MaxLogs, {}, explain}},
+        {"explain", {"explain ID [LOG...]", "Tells from nodes' logs what became of a call", 1, MaxLogFiles, {}, explain}},
         {"history", {"history", "Lists the last accepted changes", 0, 0, {}, history}},
         {"outcome", {"outcome ID", "Says whether the apply of that id was accepted", 1, 1, {}, outcome}},
         {"remove",
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -11,7 +11,7 @@
 
 namespace Galenahill {
 
-// What the command line says apart from the command's name.
+// Arguments and options of the command line, without the command's name.
 struct CommandOptions
 {
     Endpoint node;
@@ -20,31 +20,30 @@
     std::string applyId;
     std::string operatorName;
     std::string basedOn;
-    // One revision's number, or two as A..B.
+    // A revision number, or a range A..B.
     std::string revision;
-    // File for the plot of the burn command; empty: no plot.
+    // File to which the burn command writes its plot; empty for no plot.
     std::string plot;
     bool json = false;
     bool wait = false;
     Milliseconds waitTime{30000};
 };
 
-// One command of galenahillctl.
 struct Command
 {
     std::string synopsis;
     std::string description;
     std::size_t arguments = 0;
     std::size_t mostArguments = 0;
-    // Options that it takes beside those that every command takes.
+    // Options that the command accepts besides the general ones.
     std::vector<std::string> options;
     std::function<Result<void>(const CommandOptions &)> run;
 };
 
-// All commands by name.
+// All commands of galenahillctl by name.
 const std::map<std::string, Command> &commands();
 
-// The process's exit code for a failure.
+// Returns the exit code of the process for a failed command.
 int exitCode(ErrorKind kind);
 
 }
--- a/src/cli/diffcommand.cpp
+++ b/src/cli/diffcommand.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-using Texts = std::map<std::string, std::string>;
+using FileTexts = std::map<std::string, std::string>;
 
-// The files of a revision, or those in force if it is empty.
-Result<Texts> readTexts(const CommandOptions &options, const std::string &revision)
+// Fetches the files of the revision, or the files in force if no revision is given.
+Result<FileTexts> fetchFiles(const CommandOptions &options, const std::string &revision)
 {
     json params = json::object();
     if (!revision.empty()) {
         const auto number = wholeNumber(revision);
         if (!number) {
-            return failure(
-                ErrorKind::Invalid, fmt::format("--revision={}: give one number, or two as A..B; 'galenahillctl history' lists them", options.revision));
+            return failure(ErrorKind::Invalid,
+                fmt::format("--revision={}: give one revision number, or two as A..B; 'galenahillctl history' lists them", options.revision));
         }
         params["revision"] = *number;
     }
@@ -32,14 +32,14 @@
     if (!result) {
         return tl::unexpected(result.error());
     }
-    Texts texts;
+    FileTexts texts;
     for (const auto &file : result->at("files")) {
         texts[file.at("name")] = file.at("text");
     }
     return texts;
 }
 
-Result<void> print(const CommandOptions &options, const Texts &before, const Texts &after)
+Result<void> print(const CommandOptions &options, const FileTexts &before, const FileTexts &after)
 {
     std::set<std::string> names;
     for (const auto *texts : {&before, &after}) {
@@ -68,16 +68,16 @@
     return {};
 }
 
-// The local file against the same file of the revision; other files stay out.
-Result<void> diffFile(const CommandOptions &options, Texts present)
+// Compares the local file with the file of the same name in the revision.
+Result<void> diffFile(const CommandOptions &options, FileTexts base)
 {
     const auto text = readFile(options.arguments.front());
     if (!text) {
         return tl::unexpected(text.error());
     }
     const auto name = fileNameOf(options);
-    Texts before;
-    if (const auto found = present.find(name); found != present.end()) {
+    FileTexts before;
+    if (const auto found = base.find(name); found != base.end()) {
         before.insert(*found);
     }
     return print(options, before, {{name, *text}});
@@ -91,9 +91,9 @@
         return failure(ErrorKind::Invalid, "diff: give a FILE, or two revisions with --revision=A..B");
     }
     const auto dots = options.revision.find("..");
-    auto before = readTexts(options, options.revision.substr(0, dots));
+    auto before = fetchFiles(options, options.revision.substr(0, dots));
     if (!before && before.error().kind == ErrorKind::NotFound && options.revision.empty()) {
-        before = Texts();
+        before = FileTexts();
     }
     if (!before) {
         return tl::unexpected(before.error());
@@ -101,7 +101,7 @@
     if (!options.arguments.empty()) {
         return diffFile(options, std::move(*before));
     }
-    const auto after = readTexts(options, dots == std::string::npos ? "" : options.revision.substr(dots + 2));
+    const auto after = fetchFiles(options, dots == std::string::npos ? "" : options.revision.substr(dots + 2));
     if (!after) {
         return tl::unexpected(after.error());
     }
--- a/src/cli/diffcommand.h
+++ b/src/cli/diffcommand.h
@@ -4,8 +4,7 @@
 
 namespace Galenahill {
 
-// Prints the lines that differ between a local file and the one in force, or
-// between two revisions.
+// Prints the lines that differ between a local file and the file in force, or between two revisions.
 Result<void> diff(const CommandOptions &options);
 
 }
--- a/src/cli/explaincommand.h
+++ b/src/cli/explaincommand.h
@@ -4,7 +4,7 @@
 
 namespace Galenahill {
 
-// Prints what the logs of nodes say about one call.
+// Prints the lines about one call from the logs of nodes, in order of time.
 Result<void> explain(const CommandOptions &options);
 
 }
--- a/src/cli/linediff.cpp
+++ b/src/cli/linediff.cpp
@@ -11,8 +11,9 @@
 
 constexpr std::size_t ContextLines = 3;
 
-// Cells of the comparison's table; above, the whole middle counts as replaced.
-constexpr std::size_t MaxCells = 16 * 1024 * 1024;
+// Limit of the comparison table's memory. If a larger table were needed, all lines between the common
+// head and tail count as replaced.
+constexpr std::size_t MaxTableCells = 16 * 1024 * 1024;
 
 using Lines = std::vector<std::string>;
 
@@ -26,11 +27,11 @@
     return lines;
 }
 
-// Lengths of the longest common subsequences of all tails of two lists.
-class CommonTails
+// Table of the lengths of the longest common subsequences of all pairs of suffixes of two lists.
+class SubsequenceTable
 {
 public:
-    CommonTails(const Lines &left, const Lines &right)
+    SubsequenceTable(const Lines &left, const Lines &right)
         : m_columns(right.size() + 1)
         , m_lengths((left.size() + 1) * m_columns)
     {
@@ -51,19 +52,19 @@
     std::vector<std::uint32_t> m_lengths;
 };
 
-// The differing middle of two lists as marked lines.
-Lines markMiddle(const Lines &left, const Lines &right)
+// Compares the lines between the common head and tail. Puts ' ', '-' or '+' before each line.
+Lines diffMiddle(const Lines &left, const Lines &right)
 {
     Lines marked;
     std::size_t i = 0;
     std::size_t j = 0;
-    if ((left.size() + 1) * (right.size() + 1) <= MaxCells) {
-        const CommonTails tails(left, right);
+    if ((left.size() + 1) * (right.size() + 1) <= MaxTableCells) {
+        const SubsequenceTable table(left, right);
         while (i < left.size() && j < right.size()) {
             if (left[i] == right[j]) {
                 marked.push_back(" " + left[i++]);
                 ++j;
-            } else if (tails.at(i + 1, j) >= tails.at(i, j + 1)) {
+            } else if (table.at(i + 1, j) >= table.at(i, j + 1)) {
                 marked.push_back("-" + left[i++]);
             } else {
                 marked.push_back("+" + right[j++]);
@@ -79,7 +80,7 @@
     return marked;
 }
 
-bool nearChange(const Lines &marked, std::size_t line)
+bool isNearChange(const Lines &marked, std::size_t line)
 {
     const auto begin = line < ContextLines ? 0 : line - ContextLines;
     const auto end = std::min(marked.size(), line + ContextLines + 1);
@@ -102,19 +103,19 @@
     const auto tail = std::mismatch(left.rbegin(), left.rbegin() + (shorter - head), right.rbegin()).first - left.rbegin();
     Lines marked;
     std::transform(left.begin(), left.begin() + head, std::back_inserter(marked), [](const auto &line) { return " " + line; });
-    const auto middle = markMiddle({left.begin() + head, left.end() - tail}, {right.begin() + head, right.end() - tail});
+    const auto middle = diffMiddle({left.begin() + head, left.end() - tail}, {right.begin() + head, right.end() - tail});
     marked.insert(marked.end(), middle.begin(), middle.end());
     std::transform(left.end() - tail, left.end(), std::back_inserter(marked), [](const auto &line) { return " " + line; });
     std::string text;
     bool skipped = false;
     for (std::size_t i = 0; i < marked.size(); ++i) {
-        const bool shown = nearChange(marked, i);
+        const bool shown = isNearChange(marked, i);
         if (shown) {
             text += (skipped && !text.empty() ? "...\n" : "") + marked[i] + "\n";
         }
         skipped = !shown;
     }
-    return text.empty() ? "only the end of the last line differs\n" : text;
+    return text.empty() ? "the texts differ only in the newline at the end\n" : text;
 }
 
 }
--- a/src/cli/linediff.h
+++ b/src/cli/linediff.h
@@ -4,9 +4,9 @@
 
 namespace Galenahill {
 
-// The lines that differ between two texts, with three lines around each
-// change: ' ' before common lines, '-' before lines of the old text only, '+'
-// before lines of the new one only. Empty if the texts are equal.
+// Returns the lines that differ between two texts, with three lines of context around each change.
+// Common lines begin with ' ', lines of the old text only with '-', lines of the new text only with
+// '+'. Empty if the texts are equal.
 std::string lineDiff(const std::string &oldText, const std::string &newText);
 
 }
--- a/src/cli/localfile.cpp
+++ b/src/cli/localfile.cpp
@@ -12,7 +12,7 @@
 {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
-    // A folder opens like a file and fails at the first read.
+    // A folder can be opened like a file; only reading from it fails.
     if (!file || file.peek() == std::ifstream::traits_type::eof()) {
         const bool isEmpty = file.is_open() && file.eof() && !file.bad();
         return isEmpty ? Result<std::string>(std::string()) : failure(ErrorKind::Invalid, path + ": can't be read; give the path of a configuration file");
--- a/src/cli/localfile.h
+++ b/src/cli/localfile.h
@@ -10,14 +10,14 @@
 
 struct CommandOptions;
 
-// The whole text of a local file; Invalid if it can't be read.
+// Returns the text of a local file; fails with Invalid if it can't be read.
 Result<std::string> readFile(const std::string &path);
 
-// The name in the configuration of the file that the command line gives: what
-// --name says, else the base name.
+// Returns the name under which the file on the command line stands in the configuration: the value
+// of --name, else the file's base name.
 std::string fileNameOf(const CommandOptions &options);
 
-// The number if the text is a whole number and nothing else.
+// Returns the number if the text consists of decimal digits only and the number fits, else nothing.
 std::optional<std::uint64_t> wholeNumber(const std::string &text);
 
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -34,7 +34,7 @@
     return list + "\nOptions:";
 }
 
-// The name of the option whose table entry has that value.
+// Returns the long name of the option for which popt returns the value.
 const char *optionName(const poptOption *table, int value)
 {
     while (table->val != value) {
@@ -43,13 +43,13 @@
     return table->longName;
 }
 
-// Text of an option that popt owns, with a fallback.
-std::string textOr(const char *value, const std::string &fallback)
+// Copies the text of an option, which popt owns; the fallback if the option was not given.
+std::string valueOr(const char *value, const std::string &fallback)
 {
     return value == nullptr ? fallback : value;
 }
 
-// The page of the command, or the list of commands and options.
+// Prints the manual page of the command, or the list of commands and options if none is given.
 int printHelp(poptContext context, const poptOption *table, const std::string &command)
 {
     if (command.empty()) {
@@ -58,7 +58,7 @@
     }
     std::vector<OptionHelp> options;
     for (const auto *entry = table; entry->longName != nullptr; ++entry) {
-        options.push_back({entry->longName, entry->shortName, textOr(entry->argDescrip, ""), entry->descrip, entry->val == 0});
+        options.push_back({entry->longName, entry->shortName, valueOr(entry->argDescrip, ""), entry->descrip, entry->val == 0});
     }
     const auto page = manualPage(command, options);
     if (!page) {
@@ -68,7 +68,7 @@
     return 0;
 }
 
-// Runs the command if it takes the options used and so many arguments.
+// Runs the command after checking that it accepts the given options and number of arguments.
 int run(const std::string &name, const CommandOptions &options, const std::vector<std::string> &used)
 {
     const auto command = commands().find(name);
@@ -96,7 +96,7 @@
         fmt::print(stderr, "{}\n", result.error().message);
         return exitCode(result.error().kind);
     } catch (const nlohmann::json::exception &error) {
-        fmt::print(stderr, "the node's answer isn't as expected ({}); use a galenahillctl of the node's version\n", error.what());
+        fmt::print(stderr, "unexpected response from the node ({}); use a galenahillctl of the node's version\n", error.what());
         return exitCode(ErrorKind::Corrupt);
     }
 }
@@ -117,8 +117,8 @@
     int showVersion = 0;
     int showHelp = 0;
     char *revision = nullptr;
-    // An option that only some commands take has a number of its own, which
-    // popt returns when it finds the option.
+    // Options that only some commands accept have a nonzero value, which popt returns when it meets
+    // the option; general options have zero.
     const poptOption table[] = {
         {"node", 'n', POPT_ARG_STRING, &node, 0, "Control address of a node (default: $GALENAHILL_NODE, else 127.0.0.1:8082)", "IP:PORT"},
         {"json", 'j', POPT_ARG_NONE, &json, 0, "Print JSON", nullptr},
@@ -151,9 +151,9 @@
     }
     const char *commandName = poptGetArg(context);
     if (commandName == nullptr && showHelp == 0) {
-        return usageError("give a command");
+        return usageError("no command given");
     }
-    const std::string command = textOr(commandName, "");
+    const std::string command = valueOr(commandName, "");
     if (showHelp != 0) {
         return printHelp(context, table, command);
     }
@@ -161,7 +161,7 @@
     while (const char *argument = poptGetArg(context)) {
         options.arguments.emplace_back(argument);
     }
-    const auto address = textOr(node, textOr(std::getenv("GALENAHILL_NODE"), DefaultNode));
+    const auto address = valueOr(node, valueOr(std::getenv("GALENAHILL_NODE"), DefaultNode));
     const auto endpoint = endpointOf(address);
     if (!endpoint) {
         return usageError(fmt::format("--node={}: give IP:PORT of a node's control address", address));
@@ -170,12 +170,12 @@
         return usageError(fmt::format("--wait-seconds={}: give 1 to {}", waitSeconds, MaxWaitSeconds));
     }
     options.node = *endpoint;
-    options.name = textOr(name, "");
-    options.applyId = textOr(applyId, "");
-    options.basedOn = textOr(basedOn, "");
-    options.plot = textOr(plot, "");
-    options.revision = textOr(revision, "");
-    options.operatorName = textOr(operatorName, textOr(std::getenv("USER"), "unknown"));
+    options.name = valueOr(name, "");
+    options.applyId = valueOr(applyId, "");
+    options.basedOn = valueOr(basedOn, "");
+    options.plot = valueOr(plot, "");
+    options.revision = valueOr(revision, "");
+    options.operatorName = valueOr(operatorName, valueOr(std::getenv("USER"), "unknown"));
     options.json = json != 0;
     options.wait = wait != 0;
     options.waitTime = std::chrono::seconds(waitSeconds);
--- a/src/cli/manualpage.cpp
+++ b/src/cli/manualpage.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// What a page says beyond the command's one line.
+// Text of each command's manual page below its one-line description.
 const std::map<std::string, std::string> &details()
 {
     static const std::map<std::string, std::string> texts = {
@@ -75,8 +75,8 @@
     }
     std::string list;
     for (const auto &option : options) {
-        const auto &own = found->second.options;
-        if (option.general || std::find(own.begin(), own.end(), option.name) != own.end()) {
+        const auto &acceptedOptions = found->second.options;
+        if (option.general || std::find(acceptedOptions.begin(), acceptedOptions.end(), option.name) != acceptedOptions.end()) {
             list += optionLine(option);
         }
     }
--- a/src/cli/manualpage.h
+++ b/src/cli/manualpage.h
@@ -7,20 +7,20 @@
 
 namespace Galenahill {
 
-// One option of the command line as help describes it.
+// Description of a command-line option for the manual page.
 struct OptionHelp
 {
     std::string name;
     char shortName = 0;
-    // What stands for the value; empty if the option takes none.
+    // Placeholder of the value, such as FILE; empty if the option takes no value.
     std::string argument;
     std::string text;
-    // Whether every command takes it.
+    // Whether every command accepts the option.
     bool general = false;
 };
 
-// The manual page of a command, as `galenahillctl COMMAND --help` prints it and
-// docs/manual keeps it. Invalid if there is no such command.
+// Returns the manual page of a command, which `galenahillctl COMMAND --help` prints and docs/manual
+// holds. Fails with Invalid if there is no such command.
 Result<std::string> manualPage(const std::string &command, const std::vector<OptionHelp> &options);
 
 }
--- a/src/cli/nodeconnection.cpp
+++ b/src/cli/nodeconnection.cpp
@@ -37,14 +37,14 @@
         }
         return response->body();
     });
-    const auto answer = client.call(method, params.dump());
+    const auto response = client.call(method, params.dump());
     if (transportError) {
         return failure(transportError->kind, fmt::format("node {}; check --node, or use another node", transportError->message));
     }
-    if (!answer.ok) {
-        return failure(rpcErrorKind(answer.errorCode), answer.errorMessage);
+    if (!response.ok) {
+        return failure(rpcErrorKind(response.errorCode), response.errorMessage);
     }
-    return nlohmann::json::parse(answer.result);
+    return nlohmann::json::parse(response.result);
 }
 
 }
--- a/src/cli/nodeconnection.h
+++ b/src/cli/nodeconnection.h
@@ -14,8 +14,8 @@
 public:
     explicit NodeConnection(Endpoint node);
 
-    // The method's result. A lost answer to a method that changes something
-    // is OutcomeUnknown; a node that can't be reached is Unavailable.
+    // Calls the method and returns its result. Fails with Unavailable if the node can't be reached, with
+    // OutcomeUnknown if the response was lost, so that a method that changes something may have done so.
     Result<nlohmann::json> call(const std::string &method, const nlohmann::json &params);
 
 private:
