--- a/autotests/unit/faultcheckstest.cpp
+++ b/autotests/unit/faultcheckstest.cpp
@@ -4,8 +4,8 @@
 
 using namespace Galenahill;
 
-// Each check is fed a run that holds, and the same run with one record that
-// breaks its promise; a check that can't fail would prove nothing.
+// Runs each check on the records of a run without violations, and on the same records with one
+// change that violates the guarantee. Guards against checks that can't fail.
 namespace {
 
 const TimePoint Begin = TimePoint() + std::chrono::hours(1);
@@ -15,7 +15,7 @@
     return Begin + Milliseconds(milliseconds);
 }
 
-CallRecord order(const std::string &id, CallOutcome outcome, std::int64_t sentMs)
+CallRecord nonIdempotentCall(const std::string &id, CallOutcome outcome, std::int64_t sentMs)
 {
     CallRecord call;
     call.id = id;
@@ -27,8 +27,8 @@
     return call;
 }
 
-// Two nodes with targets of ventas, one accepted change, one planned stop of
-// each kind, all well.
+// Records of a run without violations: two nodes, two accepted applies, two rejected ones, and one
+// planned stop of each kind.
 FaultRunRecords goodRun()
 {
     FaultRunRecords records;
@@ -45,21 +45,23 @@
         {1, at(50), at(51), Revision(2), ContentHash("two")},
         {0, at(30000), at(30001), Revision(2), ContentHash("two")}};
     records.faults = {{TargetDrainFault, {0}, at(2000), at(9000)}, {NodeStopFault, {0}, at(10000), at(12000)}};
-    records.calls = {order("r-0", CallOutcome::Answered, 100), order("r-1", CallOutcome::NotRun, 200), order("r-2", CallOutcome::Unknown, 300)};
+    records.calls = {nonIdempotentCall("r-0", CallOutcome::Answered, 100),
+        nonIdempotentCall("r-1", CallOutcome::NotRun, 200),
+        nonIdempotentCall("r-2", CallOutcome::Unknown, 300)};
     records.ledger = {{"r-0", 0, at(101)}, {"r-2", 0, at(301)}};
     return records;
 }
 
 using Check = std::vector<Violation> (*)(const FaultRunRecords &);
 
-void expectCaught(Check check, const std::string &promise, const std::function<void(FaultRunRecords &)> &breakIt)
+void expectCaught(Check check, const std::string &guarantee, const std::function<void(FaultRunRecords &)> &introduceViolation)
 {
     auto records = goodRun();
     BOOST_TEST(check(records).empty());
-    breakIt(records);
+    introduceViolation(records);
     const auto violations = check(records);
     BOOST_REQUIRE(!violations.empty());
-    BOOST_TEST(violations.front().promise == promise);
+    BOOST_TEST(violations.front().promise == guarantee);
     BOOST_TEST(!checkAllPromises(records).empty());
 }
 
@@ -78,8 +80,8 @@
     });
 }
 
-// The node was restarted in between: it held nothing, then took calls on less
-// than its former process served.
+// The node restarts in between: it has no revision at first, then serves a lower one than before the
+// restart.
 BOOST_AUTO_TEST_CASE(OlderRevisionAfterRestartIsCaught)
 {
     expectCaught(checkRevisionsNeverFall, "revision-never-falls", [](FaultRunRecords &records) {
@@ -98,60 +100,61 @@
     expectCaught(checkRoutesReachTheirService, "no-route-astray", [](FaultRunRecords &records) { records.calls[1].status = 404; });
 }
 
-BOOST_AUTO_TEST_CASE(PartOfRevisionIsCaught)
+BOOST_AUTO_TEST_CASE(IncompleteRevisionIsCaught)
 {
     expectCaught(checkWholeRevisions, "all-or-nothing", [](FaultRunRecords &records) { records.samples[2].digest = ContentHash("half"); });
 }
 
-BOOST_AUTO_TEST_CASE(CrossedAnswerIsCaught)
+BOOST_AUTO_TEST_CASE(MismatchedResponseIsCaught)
 {
     expectCaught(checkOwnAnswers, "own-answer", [](FaultRunRecords &records) { records.calls[0].outcome = CallOutcome::Crossed; });
 }
 
-BOOST_AUTO_TEST_CASE(AnswerWithoutExecutionIsCaught)
+BOOST_AUTO_TEST_CASE(ResponseWithoutExecutionIsCaught)
 {
     expectCaught(checkOwnAnswers, "own-answer", [](FaultRunRecords &records) { records.ledger.erase(records.ledger.begin()); });
 }
 
-BOOST_AUTO_TEST_CASE(RefusedCallThatRanIsCaught)
+BOOST_AUTO_TEST_CASE(RejectedCallThatRanIsCaught)
 {
     expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.ledger.push_back({"r-1", 0, at(201)}); });
 }
 
-BOOST_AUTO_TEST_CASE(RefusedApplyThatTookEffectIsCaught)
+BOOST_AUTO_TEST_CASE(RejectedApplyThatTookEffectIsCaught)
 {
     expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("c"); });
 }
 
-BOOST_AUTO_TEST_CASE(AcceptedBadFileIsCaught)
+BOOST_AUTO_TEST_CASE(AcceptedInvalidFileIsCaught)
 {
     expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("d"); });
     expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.applies[3].error.reset(); });
 }
 
-BOOST_AUTO_TEST_CASE(OrderRunTwiceIsCaught)
+BOOST_AUTO_TEST_CASE(NonIdempotentCallRunTwiceIsCaught)
 {
     expectCaught(checkRunAtMostOnce, "at-most-once", [](FaultRunRecords &records) { records.ledger.push_back({"r-2", 0, at(400)}); });
 }
 
-BOOST_AUTO_TEST_CASE(NewWorkAtLeavingTargetIsCaught)
+BOOST_AUTO_TEST_CASE(NewCallAtLeavingTargetIsCaught)
 {
     const Check check = [](const FaultRunRecords &records) { return checkLeavingTargets(records, Milliseconds(3000)); };
     expectCaught(check, "leaving-target", [](FaultRunRecords &records) { records.ledger.push_back({"r-0", 0, at(5500)}); });
 }
 
-BOOST_AUTO_TEST_CASE(CallCutOffAtStoppingTargetIsCaught)
+BOOST_AUTO_TEST_CASE(CallInterruptedAtStoppingTargetIsCaught)
 {
     expectCaught(checkPlannedStops, "planned-stop", [](FaultRunRecords &records) {
-        records.calls.push_back(order("r-3", CallOutcome::Unknown, 9999));
+        records.calls.push_back(nonIdempotentCall("r-3", CallOutcome::Unknown, 9999));
         records.calls.back().ingress = 1;
         records.ledger.push_back({"r-3", 0, at(10000)});
     });
 }
 
-BOOST_AUTO_TEST_CASE(CallCutOffAtStoppingIngressIsCaught)
+BOOST_AUTO_TEST_CASE(CallInterruptedAtStoppingIngressIsCaught)
 {
-    expectCaught(checkPlannedStops, "planned-stop", [](FaultRunRecords &records) { records.calls.push_back(order("r-3", CallOutcome::Unknown, 10100)); });
+    expectCaught(
+        checkPlannedStops, "planned-stop", [](FaultRunRecords &records) { records.calls.push_back(nonIdempotentCall("r-3", CallOutcome::Unknown, 10100)); });
 }
 
 BOOST_AUTO_TEST_CASE(StopThatDoesNotEndIsCaught)
@@ -159,15 +162,15 @@
     expectCaught(checkPlannedStops, "planned-stop", [](FaultRunRecords &records) { records.faults[1].clean = false; });
 }
 
-// A store restored from an older backup was built on: the change that had been
-// accepted before is in no later head.
+// Later changes are based on a store that was restored from an older backup, so that a change which
+// had been accepted is missing from the last head.
 BOOST_AUTO_TEST_CASE(LostAcceptedApplyIsCaught)
 {
     const Check check = [](const FaultRunRecords &records) { return checkAcceptedInForce(records, Milliseconds(13000)); };
     expectCaught(check, "accepted-in-force", [](FaultRunRecords &records) { records.heads[1].applies = {ApplyId("b")}; });
 }
 
-BOOST_AUTO_TEST_CASE(NodeLeftBehindIsCaught)
+BOOST_AUTO_TEST_CASE(NodeWithoutLastRevisionIsCaught)
 {
     const Check check = [](const FaultRunRecords &records) { return checkAcceptedInForce(records, Milliseconds(13000)); };
     expectCaught(check, "accepted-in-force", [](FaultRunRecords &records) {
--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t Slots = 6;
 constexpr std::uint32_t ServiceMicroseconds = 20000;
 
-// Calls a second that all slots together can run.
+// Calls per second that all slots together can run.
 constexpr double Capacity = Targets * Slots * 1e6 / ServiceMicroseconds;
 
 constexpr std::uint32_t SlowFactor = 20;
@@ -31,20 +31,20 @@
 constexpr Milliseconds AdminTimeout{2000};
 constexpr Milliseconds ColdStart{500};
 constexpr Milliseconds ReadyLimit{10000};
-// The beginning of a run isn't counted into goodput and latency.
+// Calls scheduled in the first part of a run are excluded from goodput and latency.
 constexpr std::chrono::microseconds WarmUp{500000};
 
 constexpr const char *Services = "[service tablero]\ndata-centres = rosario-a, rosario-b, cordoba-a, cordoba-b\nslots = 6\nconnections = 120\n";
 constexpr const char *Routes = "[route lectura]\npath = /tablero\nmethods = GET\nservice = tablero\nidempotent = yes\ntimeout-ms = 300\nretries = 2\n"
                                "[route pedidos]\npath = /tablero\nmethods = POST\nservice = tablero\nidempotent = no\ntimeout-ms = 300\n";
 
-// What a case does to the fleet while the load runs; gives the fault's end.
+// Injects the fault of a case into the fleet while the load runs.
 using Fault = std::function<void(Fleet &fleet, Milliseconds runTime)>;
 
 struct Case
 {
     std::string name;
-    // Load as a share of the capacity.
+    // Load as a fraction of the capacity.
     double load = 0.5;
     Fault fault;
 };
@@ -52,7 +52,7 @@
 struct Variant
 {
     std::string name;
-    // Decisions switched off; see CallPolicy.
+    // Decisions that are switched off or replaced; see CallPolicy.
     std::string without;
     std::vector<std::string> cases;
 };
@@ -63,18 +63,18 @@
     Milliseconds time{0};
 };
 
-void admin(const Fleet &fleet, std::size_t node, const nlohmann::json &order)
+void controlTarget(const Fleet &fleet, std::size_t node, const nlohmann::json &behaviour)
 {
     HttpRequest request(http::verb::post, "/admin", 11);
     request.set(http::field::host, toString(fleet.target(node)));
-    request.body() = order.dump();
+    request.body() = behaviour.dump();
     request.prepare_payload();
     if (!blockingExchange(fleet.target(node), std::move(request), AdminTimeout)) {
-        fmt::print(stderr, "target {} takes no orders\n", node);
+        fmt::print(stderr, "target {} did not respond to a control request on /admin; the run continues\n", node);
     }
 }
 
-std::uint64_t loadFigure(const Fleet &fleet, std::size_t node, const std::string &key)
+std::uint64_t loadCounter(const Fleet &fleet, std::size_t node, const std::string &key)
 {
     HttpRequest request(http::verb::get, "/load", 11);
     request.set(http::field::host, toString(fleet.target(node)));
@@ -86,28 +86,28 @@
 {
     const auto ready = [&](const nlohmann::json &status) { return status.value("state", "") == "ready" && status.value("members", std::size_t(0)) == Targets; };
     if (!fleet.waitForAll(ready, ReadyLimit, Milliseconds(50))) {
-        fmt::print(stderr, "not all targets are ready after {} ms\n", ReadyLimit.count());
+        fmt::print(stderr, "not all targets are ready after {} ms; the run continues\n", ReadyLimit.count());
     }
 }
 
-void sleepShare(Milliseconds runTime, double share)
+void sleepFraction(Milliseconds runTime, double share)
 {
     std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(static_cast<double>(runTime.count()) * share));
 }
 
-// Orders target 0 something after a quarter of the run, and the opposite
-// after three quarters.
-Fault orderedFault(nlohmann::json begin, nlohmann::json end)
+// Changes the behaviour of target 0 after a quarter of the run, and restores it after three
+// quarters.
+Fault targetFault(nlohmann::json begin, nlohmann::json end)
 {
     return [begin, end](Fleet &fleet, Milliseconds runTime) {
-        sleepShare(runTime, 0.25);
-        admin(fleet, 0, begin);
-        sleepShare(runTime, 0.5);
-        admin(fleet, 0, end);
+        sleepFraction(runTime, 0.25);
+        controlTarget(fleet, 0, begin);
+        sleepFraction(runTime, 0.5);
+        controlTarget(fleet, 0, end);
     };
 }
 
-void rollNodes(Fleet &fleet, Milliseconds)
+void restartNodes(Fleet &fleet, Milliseconds)
 {
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         fleet.nodeProcess(node)->signal(SIGTERM);
@@ -119,17 +119,17 @@
 
 std::vector<Case> allCases()
 {
-    const nlohmann::json usual = {{"service_us", ServiceMicroseconds}};
+    const nlohmann::json normal = {{"service_us", ServiceMicroseconds}};
     return {{.name = "half-load"},
         {.name = "overload-2x", .load = 2},
         {.name = "overload-5x", .load = 5},
-        {.name = "frozen", .fault = orderedFault({{"freeze", true}}, {{"freeze", false}})},
-        {.name = "slow", .fault = orderedFault({{"service_us", ServiceMicroseconds * SlowFactor}}, usual)},
-        // One slot in truth, while health and load say ready and idle.
-        {.name = "misreporting", .fault = orderedFault({{"misreport", true}, {"slots", 1}}, {{"misreport", false}, {"slots", Slots}})},
-        {.name = "cold", .fault = orderedFault({{"cold_ms", ColdStart.count()}}, usual)},
-        {.name = "drain", .fault = orderedFault({{"drain", true}}, {{"drain", false}})},
-        {.name = "rolling", .fault = rollNodes}};
+        {.name = "frozen", .fault = targetFault({{"freeze", true}}, {{"freeze", false}})},
+        {.name = "slow", .fault = targetFault({{"service_us", ServiceMicroseconds * SlowFactor}}, normal)},
+        // The target has one slot, while its health and load endpoints report ready and idle.
+        {.name = "misreporting", .fault = targetFault({{"misreport", true}, {"slots", 1}}, {{"misreport", false}, {"slots", Slots}})},
+        {.name = "cold", .fault = targetFault({{"cold_ms", ColdStart.count()}}, normal)},
+        {.name = "drain", .fault = targetFault({{"drain", true}}, {{"drain", false}})},
+        {.name = "rolling", .fault = restartNodes}};
 }
 
 std::vector<Variant> allVariants()
@@ -171,29 +171,29 @@
     return {LoadGenerator(load).run(), time};
 }
 
-bool counts(const CallRecord &record)
+bool isMeasured(const CallRecord &record)
 {
     return record.scheduled >= WarmUp;
 }
 
-// The latency in milliseconds that this share of the answered calls keeps.
+// Latency in milliseconds at the given quantile of the answered calls.
 double percentile(const std::vector<CallRecord> &records, double share)
 {
     std::vector<std::int64_t> latencies;
     for (const auto &record : records) {
-        if (counts(record) && record.outcome == CallOutcome::Answered) {
+        if (isMeasured(record) && record.outcome == CallOutcome::Answered) {
             latencies.push_back(record.latency.count());
         }
     }
     if (latencies.empty()) {
         return 0;
     }
-    const auto place = latencies.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(latencies.size() - 1));
-    std::nth_element(latencies.begin(), place, latencies.end());
-    return static_cast<double>(*place) / 1000;
+    const auto position = latencies.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(latencies.size() - 1));
+    std::nth_element(latencies.begin(), position, latencies.end());
+    return static_cast<double>(*position) / 1000;
 }
 
-// Calls a second that were answered while the load lasted, by the capacity.
+// Calls per second that were answered while the load ran, as a fraction of the capacity.
 double goodput(const Run &run)
 {
     const auto end = std::chrono::duration_cast<std::chrono::microseconds>(run.time);
@@ -209,20 +209,20 @@
     std::size_t all = 0;
     std::size_t failed = 0;
     for (const auto &record : records) {
-        const bool takes = record.idempotent || !idempotentOnly;
-        all += takes ? 1 : 0;
-        failed += takes && record.outcome != CallOutcome::Answered ? 1 : 0;
+        const bool isCounted = record.idempotent || !idempotentOnly;
+        all += isCounted ? 1 : 0;
+        failed += isCounted && record.outcome != CallOutcome::Answered ? 1 : 0;
     }
     return all == 0 ? 0 : static_cast<double>(failed) / static_cast<double>(all);
 }
 
-std::size_t cutOff(const std::vector<CallRecord> &records)
+std::size_t countInterrupted(const std::vector<CallRecord> &records)
 {
     return static_cast<std::size_t>(
         std::count_if(records.begin(), records.end(), [](const CallRecord &record) { return record.outcome == CallOutcome::Unknown && record.status == 0; }));
 }
 
-double retries(const Fleet &fleet)
+double totalRetries(const Fleet &fleet)
 {
     double sum = 0;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
@@ -269,8 +269,8 @@
     return result;
 }
 
-// Calls straight to the targets at half load, so that what the nodes add is
-// told apart from what the machine does at that moment.
+// Measures the latency of calls that go directly to the targets at a quarter of the capacity, so
+// that the latency added by the nodes can be separated from that of the machine.
 DirectLatency CallsExperiment::measureDirect(const Fleet &fleet)
 {
     std::vector<Endpoint> targets;
@@ -286,7 +286,7 @@
     fmt::print(stderr, "{} / {}\n", m_variant.name, kind.name);
     waitReady(fleet);
     const auto begin = Clock::now();
-    const auto retriesBefore = retries(fleet);
+    const auto retriesBefore = totalRetries(fleet);
     std::thread fault([&] {
         if (kind.fault) {
             kind.fault(fleet, m_time);
@@ -296,9 +296,9 @@
     const auto run = sendLoad(ingresses(fleet), Capacity * kind.load, time, m_options.seed, kind.name);
     fault.join();
     const auto calls = reconcile(fleet, run.records);
-    const auto lateCalls = loadFigure(fleet, 0, "late_calls");
+    const auto lateCalls = loadCounter(fleet, 0, "late_calls");
     const bool planned = kind.name == "drain" || kind.name == "rolling";
-    const auto cut = cutOff(run.records);
+    const auto cut = countInterrupted(run.records);
     const nlohmann::ordered_json line = {{"bench", "calls"},
         {"commit", m_options.commit},
         {"seed", m_options.seed},
@@ -316,7 +316,7 @@
         {"goodput_ratio", goodput(run)},
         {"failed_ratio", failedRatio(run.records, false)},
         {"failed_idempotent_ratio", failedRatio(run.records, true)},
-        {"retries_ratio", (retries(fleet) - retriesBefore) / static_cast<double>(calls.sent)},
+        {"retries_ratio", (totalRetries(fleet) - retriesBefore) / static_cast<double>(calls.sent)},
         {"run_twice", calls.runTwice},
         {"crossed", calls.crossed},
         {"refused_but_run", calls.refusedButRun},
@@ -365,8 +365,8 @@
         if (!wanted.empty() && std::find(wanted.begin(), wanted.end(), variant.name) == wanted.end()) {
             continue;
         }
-        // The baselines are there to be compared; only the system's own
-        // invariants decide about the exit code.
+        // The other variants are baselines for comparison; only violations of the unchanged system
+        // make the experiment fail.
         const bool held = CallsExperiment(options, variant).run();
         holds = holds && (held || !variant.without.empty());
     }
--- a/bench/childprocess.cpp
+++ b/bench/childprocess.cpp
@@ -25,7 +25,7 @@
     const int failed = posix_spawn(&m_pid, arguments.front(), &actions, nullptr, arguments.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0) {
-        throw std::runtime_error(command.front() + ": can't be started; build it first");
+        throw std::runtime_error(command.front() + ": cannot start the program; build it first");
     }
 }
 
--- a/bench/childprocess.h
+++ b/bench/childprocess.h
@@ -6,24 +6,23 @@
 
 namespace Galenahill {
 
-// A process of the fleet under test, started by the harness. Ended with
-// SIGKILL when the object goes, so that a failed run leaves nothing behind.
-// The harness isn't part of the system; none of the system's own processes
-// starts another.
+// A child process of the test harness. The destructor kills it with SIGKILL, so that a failed
+// run leaves no processes behind. Only the harness starts processes; the programs under test
+// start none.
 class ChildProcess
 {
 public:
-    // Starts the program; its standard error goes to the log file.
+    // Starts the program and appends its standard output and standard error to the log file.
     ChildProcess(const std::vector<std::string> &command, const std::string &logFile);
     ~ChildProcess();
 
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
-    // Sends a signal; nothing if the process has ended.
+    // Sends a signal; does nothing if the process has ended.
     void signal(int number);
 
-    // Waits for the end and gives the exit code, or -1 after a signal.
+    // Waits until the process ends. Returns its exit code, or -1 if a signal ended it.
     int wait();
 
     bool running();
--- a/bench/datapath.cpp
+++ b/bench/datapath.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t Callers = 8;
 constexpr std::uint64_t MaxBodyBytes = 1U << 20U;
 
-// A reactor on a thread of its own, whose processor time can be told.
+// An event loop on its own thread that reports the CPU time it has used.
 class Reactor
 {
 public:
@@ -64,7 +64,7 @@
     std::thread m_thread;
 };
 
-std::shared_ptr<const RoutingView> viewOf(const Endpoint &sidecar)
+std::shared_ptr<const RoutingView> makeRoutingView(const Endpoint &sidecar)
 {
     const std::vector<ConfigFile> files = {{FileName("all.ini"),
         "[service ventas]\ndata-centres = rosario-a\nslots = 9\nconnections = 120\n"
@@ -81,14 +81,14 @@
     return RoutingView::build(revision, {record});
 }
 
-asio::awaitable<void> callRepeatedly(HttpClient &client, Endpoint endpoint, std::size_t calls, std::atomic<std::size_t> &good)
+asio::awaitable<void> callRepeatedly(HttpClient &client, Endpoint endpoint, std::size_t calls, std::atomic<std::size_t> &succeeded)
 {
     for (std::size_t i = 0; i < calls; ++i) {
         HttpRequest request(http::verb::get, "/ventas/orders", 11);
         request.set(http::field::host, "ventas");
         request.set("Request-Id", "r-1");
-        const auto answer = co_await client.exchange(endpoint, std::move(request), Clock::now() + Milliseconds(10000));
-        good += answer && answer->result() == http::status::ok ? 1 : 0;
+        const auto response = co_await client.exchange(endpoint, std::move(request), Clock::now() + Milliseconds(10000));
+        succeeded += response && response->result() == http::status::ok ? 1 : 0;
     }
 }
 
@@ -118,7 +118,8 @@
         .target = targetEndpoint,
         .healthPath = "/health",
         .log = [](LogLevel, std::string_view, const std::vector<LogField> &) {},
-        // A cold sidecar refuses some of the first calls; here each must count.
+        // Until its concurrency limit has adapted, a sidecar rejects some of the first calls; here
+        // every call must succeed.
         .policy = {.adaptive = false},
         .stateChanged = [&](MemberState state) { ready = state == MemberState::Ready; }});
     HttpServer target(targetReactor.context, {.endpoint = targetEndpoint, .handler = [](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> {
@@ -134,7 +135,7 @@
             .handler = [&](HttpRequest request, ServerConnection &connection) { return ingress.handle(std::move(request), connection); },
             .limits = {.bodyBytes = MaxBodyBytes},
             .streamBodies = true});
-    const auto view = viewOf(sidecarEndpoint);
+    const auto view = makeRoutingView(sidecarEndpoint);
     targetReactor.run([&] { (void)target.listen(); });
     sidecarReactor.run([&] {
         (void)sidecarServer.listen();
@@ -151,11 +152,11 @@
     const auto ingressBefore = ingressReactor.cpuMicroseconds();
     const auto sidecarBefore = sidecarReactor.cpuMicroseconds();
     const auto begin = Clock::now();
-    std::atomic<std::size_t> good = 0;
+    std::atomic<std::size_t> succeeded = 0;
     std::vector<std::future<void>> done;
     done.reserve(Callers);
     for (std::size_t i = 0; i < Callers; ++i) {
-        done.push_back(asio::co_spawn(callerReactor.context, callRepeatedly(caller, ingressEndpoint, calls, good), asio::use_future));
+        done.push_back(asio::co_spawn(callerReactor.context, callRepeatedly(caller, ingressEndpoint, calls, succeeded), asio::use_future));
     }
     for (auto &future : done) {
         future.wait();
@@ -173,9 +174,9 @@
         {"ingress_cpu_us", ingressCost},
         {"sidecar_cpu_us", sidecarCost},
         {"core_calls_s", 1e6 / (ingressCost + sidecarCost)},
-        {"failed", calls * Callers - good}};
+        {"failed", calls * Callers - succeeded}};
     fmt::print("{}\n", line.dump());
-    return good == calls * Callers;
+    return succeeded == calls * Callers;
 }
 
 }
--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -24,8 +24,8 @@
     return text.str();
 }
 
-// Applies a file through a node and waits until all serve it; gives the
-// milliseconds from acceptance, or a failure.
+// Applies a file through a node and waits until all nodes serve it. Returns the milliseconds since
+// the apply was accepted.
 Result<std::int64_t> applyAndWait(Fleet &fleet, std::size_t node, const std::string &name, const std::string &text)
 {
     NodeConnection connection(fleet.control(node));
@@ -40,14 +40,14 @@
     const auto waited
         = fleet.waitForAll([&](const nlohmann::json &status) { return status.value("revision", std::uint64_t(0)) >= revision; }, ConvergenceLimit);
     if (!waited) {
-        return failure(ErrorKind::Unavailable, fmt::format("revision {} isn't in force everywhere after {} ms", revision, ConvergenceLimit.count()));
+        return failure(ErrorKind::Unavailable, fmt::format("revision {} is not in force on all nodes after {} ms", revision, ConvergenceLimit.count()));
     }
     return std::chrono::duration_cast<Milliseconds>(Clock::now() - accepted).count();
 }
 
-// A file whose route names a service that nothing defines; true if it was
-// refused and nothing changed.
-bool refusesHangingRoute(Fleet &fleet)
+// Applies a file whose route names a service that no file defines. Returns true if it was rejected
+// as invalid.
+bool rejectsUndefinedService(Fleet &fleet)
 {
     NodeConnection connection(fleet.control(1));
     const auto result = connection.call("apply",
@@ -55,9 +55,9 @@
             {"file", "hanging.ini"},
             {"text", "[route hanging]\npath = /hanging\nmethods = GET\nservice = venta\nidempotent = yes\ntimeout-ms = 1000\n"},
             {"operator", "demo"}});
-    const bool refused = !result && result.error().kind == ErrorKind::Invalid;
-    fmt::print(stderr, "refused as it should be: {}\n", refused ? result.error().message : "NO");
-    return refused;
+    const bool rejected = !result && result.error().kind == ErrorKind::Invalid;
+    fmt::print(stderr, "invalid file was rejected: {}\n", rejected ? result.error().message : "NO");
+    return rejected;
 }
 
 std::set<std::uint64_t> revisionsInForce(const Fleet &fleet)
@@ -120,14 +120,14 @@
         const auto time = applyAndWait(fleet, node, name, text);
         applied = applied && time.has_value();
         convergence.push_back(time ? nlohmann::json(*time) : nlohmann::json());
-        fmt::print(stderr, "{}: {}\n", name, time ? fmt::format("in force everywhere after {} ms", *time) : time.error().message);
+        fmt::print(stderr, "{}: {}\n", name, time ? fmt::format("in force on all nodes after {} ms", *time) : time.error().message);
     };
     for (const std::string name : {"forja-services.ini", "forja-routes.ini"}) {
         apply(0, name, readText(options.examples + "/forja/" + name));
     }
     auto records = sendCalls(fleet, options, Calls / 2, "first");
     apply(5, "forja-services.ini", readText(options.examples + "/forja/forja-services.ini") + "\n; changed by the demo\n");
-    const bool refused = refusesHangingRoute(fleet);
+    const bool rejected = rejectsUndefinedService(fleet);
     const auto more = sendCalls(fleet, options, Calls / 2, "second");
     records.insert(records.end(), more.begin(), more.end());
 
@@ -154,7 +154,7 @@
         {"revision_in_force", revisions.size() == 1 ? nlohmann::json(*revisions.begin()) : nlohmann::json()},
         {"unclean_stops", unclean}};
     fmt::print("{}\n", line.dump());
-    return applied && refused && calls.holds() && calls.answered > 0 && revisions.size() == 1 && unclean == 0;
+    return applied && rejected && calls.holds() && calls.answered > 0 && revisions.size() == 1 && unclean == 0;
 }
 
 }
--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -19,18 +19,18 @@
 constexpr Milliseconds ConvergenceLimit{13000};
 constexpr Milliseconds PollingStep{5};
 
-// Time after the start until the news of the joins have died down: each node
-// passes on one record of each other, eight in a datagram.
+// Time after the start until gossip about the joins has ended: each node forwards one record of
+// every other node, eight records per datagram.
 constexpr Milliseconds SettleTime{8000};
 constexpr Milliseconds SettleTimePerNode{150};
 
-// Time after a change until the last datagrams about it are sent.
+// Time after a change until the last datagrams about it have been sent.
 constexpr Milliseconds ChangeTail{1500};
 
 struct Variant
 {
     std::string name;
-    // Lines of the section [fleet].
+    // Lines for the section [fleet] of the settings.
     std::string settings;
 };
 
@@ -49,10 +49,10 @@
     return all;
 }
 
-// What all nodes have counted together, at one moment.
+// Sum of the counters of all nodes at one time.
 struct Totals
 {
-    // Each byte counts at its sender and at its receiver.
+    // Each byte is counted at its sender and at its receiver.
     double gossipBytes = 0;
     double pullBytes = 0;
     double joinBytes = 0;
@@ -81,8 +81,8 @@
         }
         const auto &counters = status->at("counters");
         sum.gossipBytes += counters.at("datagram_bytes").get<double>();
-        // The node counts pulls and joins where it asks; the member that
-        // answers has as many bytes again.
+        // Only the requesting node counts the bytes of pulls and joins; the responding member
+        // transfers the same number.
         sum.pullBytes += 2 * counters.at("pull_bytes").get<double>();
         sum.joinBytes += 2 * counters.at("join_bytes").get<double>();
         sum.datagrams += counters.at("datagrams").get<double>();
@@ -107,11 +107,11 @@
 {
     HttpRequest request(http::verb::get, "/admin/counters", 11);
     request.set(http::field::host, toString(fleet.platform()));
-    const auto answer = blockingExchange(fleet.platform(), std::move(request), Milliseconds(2000));
-    return answer ? nlohmann::json::parse(answer->body(), nullptr, false) : nlohmann::json::object();
+    const auto response = blockingExchange(fleet.platform(), std::move(request), Milliseconds(2000));
+    return response ? nlohmann::json::parse(response->body(), nullptr, false) : nlohmann::json::object();
 }
 
-double callsOf(const nlohmann::json &before, const nlohmann::json &after, const std::vector<std::string> &kinds)
+double callCountBetween(const nlohmann::json &before, const nlohmann::json &after, const std::vector<std::string> &kinds)
 {
     double calls = 0;
     for (const auto &kind : kinds) {
@@ -120,12 +120,12 @@
     return calls;
 }
 
-double deltaAgainst(const Fleet &fleet, const std::string &base)
+double deltaSizeAgainst(const Fleet &fleet, const std::string &base)
 {
     HttpRequest request(http::verb::get, "/config?base=" + base, 11);
     request.set(http::field::host, toString(fleet.control(0)));
-    const auto answer = blockingExchange(fleet.control(0), std::move(request), Milliseconds(2000));
-    return answer ? static_cast<double>(answer->body().size()) : 0;
+    const auto response = blockingExchange(fleet.control(0), std::move(request), Milliseconds(2000));
+    return response ? static_cast<double>(response->body().size()) : 0;
 }
 
 Result<Change> applyOnce(Fleet &fleet, std::size_t node, const std::string &file, const std::string &text)
@@ -141,16 +141,16 @@
     const auto revision = result->at("revision").get<std::uint64_t>();
     const auto serves = [&](const nlohmann::json &status) { return status.value("revision", std::uint64_t(0)) >= revision; };
     if (!fleet.waitForAll(serves, ConvergenceLimit, PollingStep)) {
-        return failure(ErrorKind::Unavailable, fmt::format("revision {} isn't in force everywhere after {} ms", revision, ConvergenceLimit.count()));
+        return failure(ErrorKind::Unavailable, fmt::format("revision {} is not in force on all nodes after {} ms", revision, ConvergenceLimit.count()));
     }
     const auto time = 1000 * secondsBetween(accepted, Clock::now());
-    return Change{time, before ? deltaAgainst(fleet, before->value("digest", "none")) : 0};
+    return Change{time, before ? deltaSizeAgainst(fleet, before->value("digest", "none")) : 0};
 }
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double quantile)
 {
     std::sort(values.begin(), values.end());
-    const auto index = static_cast<std::size_t>(std::ceil(part * static_cast<double>(values.size())));
+    const auto index = static_cast<std::size_t>(std::ceil(quantile * static_cast<double>(values.size())));
     return values.empty() ? 0 : values[std::max<std::size_t>(index, 1) - 1];
 }
 
@@ -170,7 +170,7 @@
     {
     }
 
-    // Prints one line; false if a change didn't get everywhere.
+    // Prints one line. Returns false if a change did not reach every node.
     bool run();
 
 private:
@@ -212,9 +212,9 @@
     m_idleDatagrams = (after.datagrams - before.datagrams) / seconds / nodes;
     m_cpuPercent = 100 * (usage.cpuSeconds - usageBefore.cpuSeconds) / secondsBetween(usageBefore.at, usage.at) / nodes;
     m_rssMb = usage.largestRssMb;
-    m_reads = callsOf(storeBefore, store, {"read", "list"}) / seconds;
-    m_writes = callsOf(storeBefore, store, {"write"}) / seconds;
-    m_watches = callsOf(storeBefore, store, {"watch"}) / seconds;
+    m_reads = callCountBetween(storeBefore, store, {"read", "list"}) / seconds;
+    m_writes = callCountBetween(storeBefore, store, {"write"}) / seconds;
+    m_watches = callCountBetween(storeBefore, store, {"watch"}) / seconds;
     return true;
 }
 
@@ -266,7 +266,7 @@
         {"pull_bytes_per_change_per_node", m_changePullBytes},
         {"delta_bytes", m_deltaBytes},
         {"bytes_ratio", m_deltaBytes > 0 ? m_changeBytes / m_deltaBytes : 0},
-        // A byte has one sender and one receiver; this counts it once.
+        // Counts each byte only once, at its receiver.
         {"bytes_ratio_received", m_deltaBytes > 0 ? m_changeBytes / m_deltaBytes / 2 : 0},
         {"store_reads_s", m_reads},
         {"store_writes_s", m_writes},
--- a/bench/experiments.h
+++ b/bench/experiments.h
@@ -6,10 +6,10 @@
 
 namespace Galenahill {
 
-// What every experiment is told on the command line.
+// Command line options that all experiments share.
 struct ExperimentOptions
 {
-    // Folder of the build, with src/ and standins/ below it.
+    // Build folder, which contains src/ and standins/.
     std::string programs;
     // Folder with the example configuration files.
     std::string examples;
@@ -25,23 +25,23 @@
     std::vector<std::string> variants;
 };
 
-// Each runs one experiment, prints one JSON object a line, and gives whether
-// every invariant held.
+// Each function runs one experiment, prints its results as one JSON object per line, and returns
+// whether every invariant held.
 bool runDistribution(const ExperimentOptions &options);
 bool runDemo(const ExperimentOptions &options);
 bool runCalls(const ExperimentOptions &options);
 
-// Processor time that one call costs ingress and sidecar, each on a thread of
-// its own in this process. A node does both, so the two together say how many
-// calls one core carries.
+// Measures the CPU time per call of ingress and sidecar, each on its own thread in this process.
+// A node does the work of both, so their sum gives the calls per second that one core can carry.
 bool runDatapath(const ExperimentOptions &options);
 
-// Memory, time and bytes of a node's parts against fleet and configuration
-// size, in this process; docs/CAPACITY.md is worked out from them.
+// Measures how memory, CPU time and message sizes of a node's components grow with the number of
+// members and the size of the configuration. Runs in this process; docs/CAPACITY.md is derived
+// from the results.
 bool runSlopes(const ExperimentOptions &options);
 bool runFaults(const ExperimentOptions &options);
 
-// The programs of the users' platform under seeded faults.
+// Runs a fleet of platform nodes (galenahillnode) under random faults from a seed.
 bool runSoak(const ExperimentOptions &options);
 
 }
--- a/bench/faultchecks.cpp
+++ b/bench/faultchecks.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Milliseconds LeavingGrace{3000};
+constexpr Milliseconds LeavingGracePeriod{3000};
 constexpr Milliseconds InForceLimit{13000};
 constexpr int NoRouteStatus = 404;
 
-// A call that began this long before a stop may still be in flight at it.
-constexpr Milliseconds LongestCall{5000};
+// A call that was sent up to this long before a stop may still be in flight when the stop begins.
+constexpr Milliseconds MaxCallTime{5000};
 
-// An answer or a retry may lag the planned end of a fault by this much.
-constexpr Milliseconds FaultShadow{2000};
+// A response or a retry may come up to this long after the end of a fault.
+constexpr Milliseconds FaultEffectTime{2000};
 
-std::unordered_map<std::string, std::vector<const LedgerEntry *>> byCall(const FaultRunRecords &records)
+std::unordered_map<std::string, std::vector<const LedgerEntry *>> executionsByCall(const FaultRunRecords &records)
 {
     std::unordered_map<std::string, std::vector<const LedgerEntry *>> runs;
     for (const auto &entry : records.ledger) {
@@ -34,18 +34,18 @@
     return records.begin + call.scheduled;
 }
 
-bool planned(const FaultRecord &fault)
+bool isPlannedStop(const FaultRecord &fault)
 {
     return fault.kind == NodeStopFault || fault.kind == TargetDrainFault;
 }
 
-// Whether another fault than a planned stop touched the time: then a call
-// without an answer can't be laid at the stop's door.
-bool disturbed(const FaultRunRecords &records, TimePoint from, TimePoint to)
+// Whether a fault other than a planned stop or a store fault overlaps the period. In that case a
+// call without a response can't be attributed to a planned stop.
+bool overlapsFault(const FaultRunRecords &records, TimePoint from, TimePoint to)
 {
     return std::any_of(records.faults.begin(), records.faults.end(), [&](const FaultRecord &fault) {
         const bool store = fault.kind.rfind("platform-", 0) == 0;
-        return !planned(fault) && !store && fault.begin <= to && fault.end + FaultShadow >= from;
+        return !isPlannedStop(fault) && !store && fault.begin <= to && fault.end + FaultEffectTime >= from;
     });
 }
 
@@ -82,10 +82,11 @@
         }
         auto &served = highest[sample.node];
         if (sample.revision < served) {
-            violations.push_back(
-                {"revision-never-falls", fmt::format("node {} serves {} after {}", sample.node, sample.revision.value(), served.value()), sample.answered});
+            violations.push_back({"revision-never-falls",
+                fmt::format("node {} serves revision {} after revision {}", sample.node, sample.revision.value(), served.value()),
+                sample.answered});
         }
-        // Each fall is told once.
+        // Reports each decrease once.
         served = sample.revision;
     }
     return violations;
@@ -98,14 +99,15 @@
     for (const auto &call : records.calls) {
         calls[call.id] = &call;
         if (call.status == NoRouteStatus) {
-            violations.push_back({"no-route-astray", fmt::format("call {} on {}: told that there is no route", call.id, call.path), sentAt(records, call)});
+            violations.push_back({"no-route-astray", fmt::format("call {} on {} was rejected for lack of a route", call.id, call.path), sentAt(records, call)});
         }
     }
     for (const auto &entry : records.ledger) {
         const auto call = calls.find(entry.call);
         const auto &service = records.services.at(entry.node);
         if (call == calls.end() || call->second->path.rfind("/" + service + "/", 0) != 0) {
-            violations.push_back({"no-route-astray", fmt::format("call {} ran at node {}, a target of {}", entry.call, entry.node, service), entry.time});
+            violations.push_back(
+                {"no-route-astray", fmt::format("call {} ran at node {}, whose target belongs to service {}", entry.call, entry.node, service), entry.time});
         }
     }
     return violations;
@@ -121,7 +123,10 @@
     for (const auto &sample : records.samples) {
         if (sample.revision != Revision() && !accepted.contains({sample.revision.value(), sample.digest.value()})) {
             violations.push_back({"all-or-nothing",
-                fmt::format("node {} serves {} with digest {}, which no head had", sample.node, sample.revision.value(), sample.digest.value()),
+                fmt::format("node {} serves revision {} with digest {}, which is not a head that the store had",
+                    sample.node,
+                    sample.revision.value(),
+                    sample.digest.value()),
                 sample.answered});
         }
     }
@@ -130,14 +135,14 @@
 
 std::vector<Violation> checkOwnAnswers(const FaultRunRecords &records)
 {
-    const auto runs = byCall(records);
+    const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
     for (const auto &call : records.calls) {
         if (call.outcome == CallOutcome::Crossed) {
-            violations.push_back({"own-answer", fmt::format("call {} got another call's answer or a part of its own", call.id), sentAt(records, call)});
+            violations.push_back({"own-answer", fmt::format("call {} got the response to another call or an incomplete one", call.id), sentAt(records, call)});
         }
         if (call.outcome == CallOutcome::Answered && !runs.contains(call.id)) {
-            violations.push_back({"own-answer", fmt::format("call {} was answered and no target ran it", call.id), sentAt(records, call)});
+            violations.push_back({"own-answer", fmt::format("call {} was answered, but no target ran it", call.id), sentAt(records, call)});
         }
     }
     return violations;
@@ -145,11 +150,11 @@
 
 std::vector<Violation> checkRefusals(const FaultRunRecords &records)
 {
-    const auto runs = byCall(records);
+    const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
     for (const auto &call : records.calls) {
         if (call.outcome == CallOutcome::NotRun && runs.contains(call.id)) {
-            violations.push_back({"refused-not-run", fmt::format("call {} was refused as not run and ran", call.id), sentAt(records, call)});
+            violations.push_back({"refused-not-run", fmt::format("call {} was rejected as not run, but ran", call.id), sentAt(records, call)});
         }
     }
     std::set<std::string> accepted;
@@ -161,10 +166,10 @@
     for (const auto &apply : records.applies) {
         const bool refused = apply.error && *apply.error != ErrorKind::OutcomeUnknown;
         if (apply.bad && (!apply.error || accepted.contains(apply.id.value()))) {
-            violations.push_back({"refused-not-run", fmt::format("apply {} of a bad file was accepted", apply.id.value()), apply.ended});
+            violations.push_back({"refused-not-run", fmt::format("apply {} of an invalid file was accepted", apply.id.value()), apply.ended});
         }
         if (!apply.bad && refused && accepted.contains(apply.id.value())) {
-            violations.push_back({"refused-not-run", fmt::format("apply {} was refused and took effect", apply.id.value()), apply.ended});
+            violations.push_back({"refused-not-run", fmt::format("apply {} was rejected, but took effect", apply.id.value()), apply.ended});
         }
     }
     return violations;
@@ -172,12 +177,13 @@
 
 std::vector<Violation> checkRunAtMostOnce(const FaultRunRecords &records)
 {
-    const auto runs = byCall(records);
+    const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
     for (const auto &call : records.calls) {
         const auto found = runs.find(call.id);
         if (!call.idempotent && found != runs.end() && found->second.size() > 1) {
-            violations.push_back({"at-most-once", fmt::format("call {} ran {} times", call.id, found->second.size()), found->second.at(1)->time});
+            violations.push_back(
+                {"at-most-once", fmt::format("non-idempotent call {} ran {} times", call.id, found->second.size()), found->second.at(1)->time});
         }
     }
     return violations;
@@ -187,14 +193,15 @@
 {
     std::vector<Violation> violations;
     for (const auto &fault : records.faults) {
-        if (!planned(fault)) {
+        if (!isPlannedStop(fault)) {
             continue;
         }
         for (const auto &entry : records.ledger) {
             const bool here = std::find(fault.nodes.begin(), fault.nodes.end(), entry.node) != fault.nodes.end();
             if (here && entry.time > fault.begin + grace && entry.time < fault.end) {
-                violations.push_back(
-                    {"leaving-target", fmt::format("call {} began at node {}, which was leaving ({})", entry.call, entry.node, fault.kind), entry.time});
+                violations.push_back({"leaving-target",
+                    fmt::format("call {} started at the target of node {}, which was leaving ({})", entry.call, entry.node, fault.kind),
+                    entry.time});
             }
         }
     }
@@ -203,20 +210,21 @@
 
 std::vector<Violation> checkPlannedStops(const FaultRunRecords &records)
 {
-    const auto runs = byCall(records);
+    const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
     for (const auto &stop : records.faults) {
-        if (!planned(stop)) {
+        if (!isPlannedStop(stop)) {
             continue;
         }
         if (!stop.clean) {
-            violations.push_back({"planned-stop", fmt::format("{} of node {} didn't exit with 0 in time", stop.kind, stop.nodes.front()), stop.end});
+            violations.push_back(
+                {"planned-stop", fmt::format("{} of node {}: the process did not exit with code 0 in time", stop.kind, stop.nodes.front()), stop.end});
         }
         for (const auto &call : records.calls) {
             const auto sent = sentAt(records, call);
             const auto ended = sent + call.latency;
-            const bool within = sent >= stop.begin - LongestCall && sent <= stop.end && ended >= stop.begin;
-            if (call.outcome != CallOutcome::Unknown || !within || disturbed(records, sent, ended)) {
+            const bool within = sent >= stop.begin - MaxCallTime && sent <= stop.end && ended >= stop.begin;
+            if (call.outcome != CallOutcome::Unknown || !within || overlapsFault(records, sent, ended)) {
                 continue;
             }
             const auto found = runs.find(call.id);
@@ -224,7 +232,7 @@
                 && std::any_of(found->second.begin(), found->second.end(), [&](const auto *entry) { return entry->node == stop.nodes.front(); });
             const bool through = stop.kind == NodeStopFault && call.ingress == stop.nodes.front();
             if (ranHere || through) {
-                violations.push_back({"planned-stop", fmt::format("call {} was cut off by {} of node {}", call.id, stop.kind, stop.nodes.front()), ended});
+                violations.push_back({"planned-stop", fmt::format("call {} was interrupted by {} of node {}", call.id, stop.kind, stop.nodes.front()), ended});
             }
         }
     }
@@ -241,7 +249,7 @@
     for (const auto &apply : records.applies) {
         const bool kept = std::find(head->applies.begin(), head->applies.end(), apply.id) != head->applies.end();
         if (!apply.error && !kept) {
-            violations.push_back({"accepted-in-force", fmt::format("apply {} was accepted and is not part of the last head", apply.id.value()), apply.ended});
+            violations.push_back({"accepted-in-force", fmt::format("apply {} was accepted, but is not part of the last head", apply.id.value()), apply.ended});
         }
     }
     auto settled = lastFaultEnd(records);
@@ -254,7 +262,10 @@
         const bool behind = sample.digest != head->digest;
         if (sample.asked > due && behind) {
             violations.push_back({"accepted-in-force",
-                fmt::format("node {} serves {} past the limit, accepted is {}", sample.node, sample.revision.value(), head->revision.value()),
+                fmt::format("node {} serves revision {} after the time limit; the last accepted revision is {}",
+                    sample.node,
+                    sample.revision.value(),
+                    head->revision.value()),
                 sample.answered});
         }
         last[sample.node] = &sample;
@@ -263,7 +274,7 @@
         const auto found = last.find(node);
         if (found == last.end() || found->second->digest != head->digest) {
             violations.push_back({"accepted-in-force",
-                fmt::format("node {} ends without revision {}", node, head->revision.value()),
+                fmt::format("node {} does not serve revision {} at the end of the run", node, head->revision.value()),
                 found == last.end() ? records.begin : found->second->answered});
         }
     }
@@ -279,7 +290,7 @@
     append(all, checkOwnAnswers(records));
     append(all, checkRefusals(records));
     append(all, checkRunAtMostOnce(records));
-    append(all, checkLeavingTargets(records, LeavingGrace));
+    append(all, checkLeavingTargets(records, LeavingGracePeriod));
     append(all, checkPlannedStops(records));
     append(all, checkAcceptedInForce(records, InForceLimit));
     return all;
--- a/bench/faultchecks.h
+++ b/bench/faultchecks.h
@@ -4,46 +4,46 @@
 
 namespace Galenahill {
 
-// The head of the highest revision that was ever accepted, or null.
+// Returns the head of the highest revision that was ever accepted, or null.
 const HeadValue *lastHead(const FaultRunRecords &records);
 
-// Each check judges one promise from the records of a run and gives what
-// contradicts it. None trusts a process about itself where a caller, a target
-// or the store has a record.
+// Each check verifies one guarantee against the records of a run and returns the violations. Where
+// a caller, a target or the store has recorded an event, the check uses that record instead of what
+// a node reports about itself.
 
-// No node serves a revision below one it served, restarts included; a node
-// that holds none serves no calls and is left out.
+// No node serves a lower revision than it served before, also after a restart. Samples of nodes
+// without a revision are skipped, since such a node accepts no calls.
 std::vector<Violation> checkRevisionsNeverFall(const FaultRunRecords &records);
 
-// Every call ran only at targets of the service that its route names, and no
-// call on a route that was always there was told that there is none.
+// Each call ran only at targets of the service that its route names. The routes that are called
+// exist in every revision, so no call is rejected for lack of a route.
 std::vector<Violation> checkRoutesReachTheirService(const FaultRunRecords &records);
 
-// Whatever a node serves is one of the store's heads, whole.
+// Each revision that a node serves is, with its digest, one of the heads that the store had.
 std::vector<Violation> checkWholeRevisions(const FaultRunRecords &records);
 
-// No answer belongs to another call, and what was answered did run.
+// No caller got the response to another call, and each call with a response ran at a target.
 std::vector<Violation> checkOwnAnswers(const FaultRunRecords &records);
 
-// What was refused as not run is in no ledger; applies that were refused are
-// in no head, and bad files are refused.
+// Calls that were rejected as not run are in no target's ledger, rejected applies are part of no
+// head, and invalid files are rejected.
 std::vector<Violation> checkRefusals(const FaultRunRecords &records);
 
 // Non-idempotent calls ran at most once.
 std::vector<Violation> checkRunAtMostOnce(const FaultRunRecords &records);
 
-// A leaving target begins no work after the given time.
+// A target that is draining or stopping starts no call after the grace period.
 std::vector<Violation> checkLeavingTargets(const FaultRunRecords &records, Milliseconds grace);
 
-// No call that a stopping node had in flight ended without an answer, and the
-// node exited by itself.
+// During a planned stop, each call in flight gets a response, and the process exits by itself with
+// code 0 in time.
 std::vector<Violation> checkPlannedStops(const FaultRunRecords &records);
 
-// Each accepted apply is part of the last head, and every live node serves
-// that head from the limit after the last fault on, for good.
+// Each accepted apply is part of the last head. Once the limit has passed after the last fault and
+// the last apply, every running node serves that head until the end of the run.
 std::vector<Violation> checkAcceptedInForce(const FaultRunRecords &records, Milliseconds limit);
 
-// All of the above, with the limits of the brief.
+// Runs all checks above with the time limits that the system guarantees.
 std::vector<Violation> checkAllPromises(const FaultRunRecords &records);
 
 }
--- a/bench/faultplayer.cpp
+++ b/bench/faultplayer.cpp
@@ -12,43 +12,43 @@
 
 namespace {
 
-constexpr double LossyLink = 0.3;
+constexpr double LossProbability = 0.3;
 constexpr Milliseconds AdminTimeout{1000};
 
-// A planned stop that takes longer counts as one that doesn't end.
+// A planned stop that takes longer is recorded as not clean.
 constexpr Milliseconds ExitLimit{8000};
 
-void post(const Endpoint &endpoint, const std::string &path, const std::string &body)
+void sendPost(const Endpoint &endpoint, const std::string &path, const std::string &body)
 {
     HttpRequest request(http::verb::post, path, 11);
     request.set(http::field::host, toString(endpoint));
     request.body() = body;
-    const auto answer = blockingExchange(endpoint, std::move(request), AdminTimeout);
-    if (!answer || answer->result() != http::status::ok) {
-        fmt::print(stderr, "{}{}: {}\n", toString(endpoint), path, answer ? answer->body() : answer.error().message);
+    const auto response = blockingExchange(endpoint, std::move(request), AdminTimeout);
+    if (!response || response->result() != http::status::ok) {
+        fmt::print(stderr, "{}{}: {}\n", toString(endpoint), path, response ? response->body() : response.error().message);
     }
 }
 
-bool kills(const PlannedFault &fault)
+bool isNodeKill(const PlannedFault &fault)
 {
     return fault.kind != "target-kill" && fault.kind.find("-kill") != std::string::npos;
 }
 
-struct Moment
+struct ScheduleEvent
 {
     Milliseconds at{0};
     bool begins = false;
     std::size_t fault = 0;
 };
 
-std::vector<Moment> moments(const std::vector<PlannedFault> &faults)
+std::vector<ScheduleEvent> sortedEvents(const std::vector<PlannedFault> &faults)
 {
-    std::vector<Moment> result;
+    std::vector<ScheduleEvent> result;
     for (std::size_t i = 0; i < faults.size(); ++i) {
         result.push_back({faults[i].begin, true, i});
         result.push_back({faults[i].end, false, i});
     }
-    std::stable_sort(result.begin(), result.end(), [](const Moment &left, const Moment &right) { return left.at < right.at; });
+    std::stable_sort(result.begin(), result.end(), [](const ScheduleEvent &left, const ScheduleEvent &right) { return left.at < right.at; });
     return result;
 }
 
@@ -61,12 +61,12 @@
 
 void FaultPlayer::backUp()
 {
-    platform("/admin/backup");
+    sendToStore("/admin/backup");
 }
 
-void FaultPlayer::platform(const std::string &path, const std::string &body)
+void FaultPlayer::sendToStore(const std::string &path, const std::string &body)
 {
-    post(m_fleet.platform(), path, body);
+    sendPost(m_fleet.platform(), path, body);
 }
 
 void FaultPlayer::setLinks(std::size_t node, const std::vector<std::size_t> &others, double loss)
@@ -77,10 +77,10 @@
             links[m_fleet.control(other).address] = loss;
         }
     }
-    post(m_fleet.control(node), "/testing/links", links.dump());
+    sendPost(m_fleet.control(node), "/testing/links", links.dump());
 }
 
-void FaultPlayer::cutLinks(const std::vector<std::size_t> &inside)
+void FaultPlayer::partition(const std::vector<std::size_t> &inside)
 {
     std::vector<std::size_t> outside;
     for (std::size_t node = 0; node < m_fleet.size(); ++node) {
@@ -96,7 +96,7 @@
     }
 }
 
-void FaultPlayer::loseOnAllLinks(double loss)
+void FaultPlayer::setLossOnAllLinks(double loss)
 {
     std::vector<std::size_t> all(m_fleet.size());
     for (std::size_t node = 0; node < all.size(); ++node) {
@@ -107,7 +107,7 @@
     }
 }
 
-bool FaultPlayer::waitForExit(std::size_t node)
+bool FaultPlayer::exitsCleanly(std::size_t node)
 {
     auto *process = m_fleet.nodeProcess(node);
     const auto until = Clock::now() + ExitLimit;
@@ -117,45 +117,45 @@
     return !process->running() && process->wait() == 0;
 }
 
-void FaultPlayer::begin(const PlannedFault &fault)
+void FaultPlayer::beginFault(const PlannedFault &fault)
 {
     if (fault.kind == "platform-restore" || fault.kind == "restore-herd-kill") {
-        platform("/admin/restore");
+        sendToStore("/admin/restore");
     } else if (fault.kind.rfind("platform-", 0) == 0) {
-        platform("/admin/fault", nlohmann::json({{"mode", fault.kind.substr(std::string("platform-").size())}, {"delay_ms", 1500}}).dump());
+        sendToStore("/admin/fault", nlohmann::json({{"mode", fault.kind.substr(std::string("platform-").size())}, {"delay_ms", 1500}}).dump());
     } else if (fault.kind == "link-cut") {
-        cutLinks(fault.nodes);
+        partition(fault.nodes);
     } else if (fault.kind == "link-loss") {
-        loseOnAllLinks(LossyLink);
+        setLossOnAllLinks(LossProbability);
     }
     for (const auto node : fault.nodes) {
-        if (kills(fault)) {
+        if (isNodeKill(fault)) {
             m_fleet.nodeProcess(node)->signal(SIGKILL);
         } else if (fault.kind == "node-pause" || fault.kind == "herd-pause") {
             m_fleet.nodeProcess(node)->signal(SIGSTOP);
         } else if (fault.kind == NodeStopFault) {
             m_fleet.nodeProcess(node)->signal(SIGTERM);
         } else if (fault.kind == TargetDrainFault) {
-            post(m_fleet.target(node), "/admin", R"({"drain": true})");
+            sendPost(m_fleet.target(node), "/admin", R"({"drain": true})");
         } else if (fault.kind == "target-kill") {
             m_fleet.targetProcess(node)->signal(SIGKILL);
         }
     }
 }
 
-void FaultPlayer::end(const PlannedFault &fault, FaultRecord &record)
+void FaultPlayer::endFault(const PlannedFault &fault, FaultRecord &record)
 {
     if (fault.kind == NodeStopFault) {
-        record.clean = waitForExit(fault.nodes.front());
+        record.clean = exitsCleanly(fault.nodes.front());
     }
     record.end = Clock::now();
     if (fault.kind.rfind("platform-", 0) == 0) {
-        platform("/admin/fault", R"({"mode": "none"})");
+        sendToStore("/admin/fault", R"({"mode": "none"})");
     } else if (fault.kind.rfind("link-", 0) == 0) {
-        loseOnAllLinks(0);
+        setLossOnAllLinks(0);
     }
     for (const auto node : fault.nodes) {
-        if (kills(fault) || fault.kind == NodeStopFault) {
+        if (isNodeKill(fault) || fault.kind == NodeStopFault) {
             m_fleet.startNode(node);
         } else if (fault.kind == "node-pause" || fault.kind == "herd-pause") {
             m_fleet.nodeProcess(node)->signal(SIGCONT);
@@ -171,16 +171,16 @@
 {
     std::vector<FaultRecord> records(faults.size());
     const auto start = Clock::now();
-    for (const auto &moment : moments(faults)) {
-        std::this_thread::sleep_until(start + moment.at);
-        const auto &fault = faults[moment.fault];
-        auto &record = records[moment.fault];
-        if (moment.begins) {
+    for (const auto &event : sortedEvents(faults)) {
+        std::this_thread::sleep_until(start + event.at);
+        const auto &fault = faults[event.fault];
+        auto &record = records[event.fault];
+        if (event.begins) {
             record = {fault.kind, fault.nodes, Clock::now(), {}};
-            begin(fault);
-            fmt::print(stderr, "{} ms: {} {}\n", moment.at.count(), fault.kind, nlohmann::json(fault.nodes).dump());
+            beginFault(fault);
+            fmt::print(stderr, "{} ms: {} {}\n", event.at.count(), fault.kind, nlohmann::json(fault.nodes).dump());
         } else {
-            end(fault, record);
+            endFault(fault, record);
         }
     }
     return records;
--- a/bench/faultplayer.h
+++ b/bench/faultplayer.h
@@ -7,27 +7,27 @@
 
 namespace Galenahill {
 
-// Plays scheduled faults on a fleet of real processes, on the calling thread.
+// Injects scheduled faults into a fleet of real processes, on the calling thread.
 class FaultPlayer
 {
 public:
     explicit FaultPlayer(Fleet &fleet);
 
-    // Keeps a copy of the store's objects for a later restore.
+    // Makes the store keep a backup of its objects for a later restore.
     void backUp();
 
-    // Plays all and gives what was done and when; at the end every process
-    // runs and every link is whole.
+    // Injects all faults and returns what was done and when. At the end every process runs and no
+    // link loses datagrams.
     std::vector<FaultRecord> play(const std::vector<PlannedFault> &faults);
 
 private:
-    void begin(const PlannedFault &fault);
-    void end(const PlannedFault &fault, FaultRecord &record);
-    void platform(const std::string &path, const std::string &body = {});
+    void beginFault(const PlannedFault &fault);
+    void endFault(const PlannedFault &fault, FaultRecord &record);
+    void sendToStore(const std::string &path, const std::string &body = {});
     void setLinks(std::size_t node, const std::vector<std::size_t> &others, double loss);
-    void cutLinks(const std::vector<std::size_t> &inside);
-    void loseOnAllLinks(double loss);
-    bool waitForExit(std::size_t node);
+    void partition(const std::vector<std::size_t> &inside);
+    void setLossOnAllLinks(double loss);
+    bool exitsCleanly(std::size_t node);
 
     Fleet &m_fleet;
 };
--- a/bench/faultproxy.cpp
+++ b/bench/faultproxy.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-// How often a direction that is cut looks whether it is still.
-constexpr Milliseconds CutCheckInterval{5};
+// Interval at which a direction whose data is held back checks whether that still applies.
+constexpr Milliseconds HoldCheckInterval{5};
 
-constexpr std::size_t PartBytes = 16 * 1024;
+constexpr std::size_t ChunkBytes = 16 * 1024;
 
 Tcp::endpoint tcpEndpoint(const Endpoint &endpoint)
 {
     return {asio::ip::make_address(endpoint.address), endpoint.port};
 }
 
-// Both ends of one relayed connection.
-struct Link
+// The client's and the server's socket of one proxied connection.
+struct ProxiedConnection
 {
-    explicit Link(asio::io_context &context)
+    explicit ProxiedConnection(asio::io_context &context)
         : client(context)
         , server(context)
     {
@@ -63,17 +63,17 @@
     Tcp::endpoint server;
     Mode mode = Mode::Pass;
     Milliseconds delay{0};
-    std::set<std::shared_ptr<Link>> links;
+    std::set<std::shared_ptr<ProxiedConnection>> connections;
     std::thread thread;
 
-    bool cut(bool answers) const
+    bool isHeld(bool fromServer) const
     {
-        return mode == Mode::Silence || mode == (answers ? Mode::CutAnswers : Mode::CutRequests);
+        return mode == Mode::Silence || mode == (fromServer ? Mode::CutAnswers : Mode::CutRequests);
     }
 
     asio::awaitable<void> accept();
-    asio::awaitable<void> relay(std::shared_ptr<Link> link);
-    asio::awaitable<void> pump(std::shared_ptr<Link> link, bool answers);
+    asio::awaitable<void> relay(std::shared_ptr<ProxiedConnection> connection);
+    asio::awaitable<void> forward(std::shared_ptr<ProxiedConnection> connection, bool fromServer);
 };
 
 FaultProxy::FaultProxy(const Endpoint &listen, const Endpoint &server)
@@ -94,8 +94,8 @@
     asio::post(d->context, [this, mode, delay] {
         d->mode = mode;
         d->delay = delay;
-        for (const auto &link : mode == Mode::Reset ? d->links : std::set<std::shared_ptr<Link>>()) {
-            link->reset();
+        for (const auto &connection : mode == Mode::Reset ? d->connections : std::set<std::shared_ptr<ProxiedConnection>>()) {
+            connection->reset();
         }
     });
 }
@@ -103,47 +103,47 @@
 asio::awaitable<void> FaultProxy::Private::accept()
 {
     for (;;) {
-        const auto link = std::make_shared<Link>(context);
+        const auto connection = std::make_shared<ProxiedConnection>(context);
         ErrorCode error;
-        co_await acceptor.async_accept(link->client, asio::redirect_error(asio::use_awaitable, error));
+        co_await acceptor.async_accept(connection->client, asio::redirect_error(asio::use_awaitable, error));
         if (!error) {
-            asio::co_spawn(context, relay(link), asio::detached);
+            asio::co_spawn(context, relay(connection), asio::detached);
         }
     }
 }
 
-asio::awaitable<void> FaultProxy::Private::relay(std::shared_ptr<Link> link)
+asio::awaitable<void> FaultProxy::Private::relay(std::shared_ptr<ProxiedConnection> connection)
 {
     ErrorCode error;
     if (mode != Mode::Reset) {
-        co_await link->server.async_connect(server, asio::redirect_error(asio::use_awaitable, error));
+        co_await connection->server.async_connect(server, asio::redirect_error(asio::use_awaitable, error));
     }
     if (error || mode == Mode::Reset) {
-        link->reset();
+        connection->reset();
         co_return;
     }
-    links.insert(link);
-    asio::co_spawn(context, pump(link, false), asio::detached);
-    co_await pump(link, true);
-    links.erase(link);
+    connections.insert(connection);
+    asio::co_spawn(context, forward(connection, false), asio::detached);
+    co_await forward(connection, true);
+    connections.erase(connection);
 }
 
-asio::awaitable<void> FaultProxy::Private::pump(std::shared_ptr<Link> link, bool answers)
+asio::awaitable<void> FaultProxy::Private::forward(std::shared_ptr<ProxiedConnection> connection, bool fromServer)
 {
-    auto &from = answers ? link->server : link->client;
-    auto &to = answers ? link->client : link->server;
-    std::array<char, PartBytes> part;
+    auto &from = fromServer ? connection->server : connection->client;
+    auto &to = fromServer ? connection->client : connection->server;
+    std::array<char, ChunkBytes> chunk;
     ErrorCode error;
     while (!error) {
-        const auto count = co_await from.async_read_some(asio::buffer(part), asio::redirect_error(asio::use_awaitable, error));
-        while (cut(answers) && from.is_open()) {
-            co_await sleepFor(context, CutCheckInterval);
+        const auto count = co_await from.async_read_some(asio::buffer(chunk), asio::redirect_error(asio::use_awaitable, error));
+        while (isHeld(fromServer) && from.is_open()) {
+            co_await sleepFor(context, HoldCheckInterval);
         }
         if (mode == Mode::Delay) {
             co_await sleepFor(context, delay);
         }
         if (count > 0) {
-            co_await asio::async_write(to, asio::buffer(part.data(), count), asio::redirect_error(asio::use_awaitable, error));
+            co_await asio::async_write(to, asio::buffer(chunk.data(), count), asio::redirect_error(asio::use_awaitable, error));
         }
     }
     ErrorCode ignored;
--- a/bench/faultproxy.h
+++ b/bench/faultproxy.h
@@ -7,25 +7,25 @@
 
 namespace Galenahill {
 
-// A relay on loopback between a client and a server, which does to their
-// connections what networks do. Has a thread of its own.
+// TCP proxy on loopback that injects network faults into the connections between clients and a
+// server. Runs on its own thread.
 class FaultProxy
 {
 public:
     enum class Mode {
         Pass,
-        // Each part comes this much later.
+        // Each chunk that was read is forwarded after the given delay.
         Delay,
-        // All connections are reset, and each new one.
+        // All open connections and each new one are reset.
         Reset,
-        // Nothing comes from the server, or from the client, until the mode
-        // changes; connections are still accepted.
+        // Data from the server, from the client, or from both is held back until the mode changes.
+        // New connections are still accepted.
         CutAnswers,
         CutRequests,
         Silence,
     };
 
-    // Throws if the address can't be listened on.
+    // Throws if it can't listen on the address.
     FaultProxy(const Endpoint &listen, const Endpoint &server);
     ~FaultProxy();
 
--- a/bench/faultrecords.h
+++ b/bench/faultrecords.h
@@ -10,10 +10,10 @@
 
 namespace Galenahill {
 
-// What was seen during one run with faults. Every time is from the harness's
-// or a target's steady clock, which all processes of one machine share.
+// Records of one run with faults. All times come from the steady clock, which the harness and the
+// targets share since they run on one machine.
 
-// One answer of a node's status, asked for from outside.
+// A node's response to one status request.
 struct StatusSample
 {
     std::size_t node = 0;
@@ -23,7 +23,7 @@
     ContentHash digest;
 };
 
-// One value that the store's head object had, from the store's own history.
+// A value that the store's head object had, taken from the history that the store keeps.
 struct HeadValue
 {
     Revision revision;
@@ -31,29 +31,29 @@
     std::vector<ApplyId> applies;
 };
 
-// One apply as its operator saw it.
+// An apply and its result as seen by the operator.
 struct ApplyRecord
 {
     ApplyId id;
-    // Nothing if it was accepted.
+    // Unset if the apply was accepted.
     std::optional<ErrorKind> error;
-    // The file breaks the configuration, so it must never be accepted.
+    // The file is invalid, so the apply must never be accepted.
     bool bad = false;
     TimePoint ended;
 };
 
-// A fault that was played, or a planned stop, which is none for the callers.
+// A fault that was injected, or a planned stop, which callers must not notice.
 struct FaultRecord
 {
     std::string kind;
     std::vector<std::size_t> nodes;
     TimePoint begin;
     TimePoint end;
-    // False if a process that was asked to stop didn't exit with 0 in time.
+    // False if a process that was asked to stop didn't exit with code 0 in time.
     bool clean = true;
 };
 
-// A promise that didn't hold, with the record that shows it.
+// A guarantee that was broken, and a description of the record that shows it.
 struct Violation
 {
     std::string promise;
@@ -72,11 +72,11 @@
     std::vector<CallRecord> calls;
     // Service of each node's target.
     std::vector<std::string> services;
-    // Nodes that lived at the end.
+    // Nodes whose process ran at the end.
     std::vector<std::size_t> live;
 };
 
-// Kinds that end processes as planned, so nothing may be cut off.
+// Kinds of planned stops, during which no call in flight may be interrupted.
 inline constexpr const char *NodeStopFault = "node-stop";
 inline constexpr const char *TargetDrainFault = "target-drain";
 
--- a/bench/faults.cpp
+++ b/bench/faults.cpp
@@ -26,10 +26,10 @@
 constexpr Milliseconds InForceLimit{13000};
 constexpr Milliseconds StartLimit{20000};
 
-// Calls go on for this long after the last fault, so that late effects show.
+// The load continues for this long after the last fault, so that late effects are recorded.
 constexpr Milliseconds CallsAfterFaults{3000};
 
-// Applies of the last change before it counts as impossible.
+// Attempts to apply the last change before the run is counted as failed.
 constexpr int LastApplyAttempts = 12;
 
 using NamedText = std::pair<std::string, std::string>;
@@ -45,7 +45,7 @@
     return files;
 }
 
-std::vector<Endpoint> controls(const Fleet &fleet)
+std::vector<Endpoint> controlEndpoints(const Fleet &fleet)
 {
     std::vector<Endpoint> endpoints;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
@@ -54,9 +54,9 @@
     return endpoints;
 }
 
-// Applies until it is accepted, as an operator who repeats with one id; false
-// if it never is.
-bool applyLast(const Fleet &fleet, std::size_t first, const NamedText &file, const std::string &id, std::vector<ApplyRecord> &records)
+// Retries an apply with the same id through one node after another until it is accepted, as an
+// operator would. Returns false if every attempt failed.
+bool applyUntilAccepted(const Fleet &fleet, std::size_t first, const NamedText &file, const std::string &id, std::vector<ApplyRecord> &records)
 {
     for (int attempt = 0; attempt < LastApplyAttempts; ++attempt) {
         const auto node = (first + static_cast<std::size_t>(attempt)) % fleet.size();
@@ -70,11 +70,11 @@
     return false;
 }
 
-bool applyFirst(Fleet &fleet, const std::vector<NamedText> &files)
+bool applyInitialFiles(Fleet &fleet, const std::vector<NamedText> &files)
 {
     std::vector<ApplyRecord> records;
     for (const auto &file : files) {
-        if (!applyLast(fleet, 0, file, "first-" + file.first, records)) {
+        if (!applyUntilAccepted(fleet, 0, file, "first-" + file.first, records)) {
             return false;
         }
     }
@@ -97,17 +97,17 @@
     return LoadGenerator(load).run();
 }
 
-// Every head that the store ever had, by its own record.
+// Returns every head that the store had, from the history that the store keeps.
 std::vector<HeadValue> headHistory(const Fleet &fleet)
 {
     HttpRequest request(http::verb::get, "/admin/head-history", 11);
     request.set(http::field::host, toString(fleet.platform()));
-    const auto answer = blockingExchange(fleet.platform(), std::move(request), Milliseconds(5000));
+    const auto response = blockingExchange(fleet.platform(), std::move(request), Milliseconds(5000));
     std::vector<HeadValue> heads;
-    if (!answer) {
+    if (!response) {
         return heads;
     }
-    for (const auto &value : nlohmann::json::parse(answer->body())) {
+    for (const auto &value : nlohmann::json::parse(response->body())) {
         const auto text = value.get<std::string>();
         const auto head = nlohmann::json::parse(text);
         HeadValue entry{Revision(head.at("revision").get<std::uint64_t>()), contentHash(text), {}};
@@ -130,7 +130,7 @@
     return live;
 }
 
-Milliseconds lastEnd(const std::vector<PlannedFault> &faults)
+Milliseconds lastFaultEnd(const std::vector<PlannedFault> &faults)
 {
     Milliseconds last{0};
     for (const auto &fault : faults) {
@@ -139,33 +139,34 @@
     return last;
 }
 
-// Frequent applies race; rare ones leave the store for long as a fault left it.
+// Frequent applies conflict with each other; rare ones leave the store for a long time in the
+// state in which a fault left it.
 Milliseconds applyInterval(std::uint64_t seed)
 {
     return Milliseconds(seed % 2 == 0 ? 1000 : 5000);
 }
 
-// The whole run between the first applies and the stop; false if the last
-// change was never accepted.
-bool record(Fleet &fleet, const ExperimentOptions &options, const std::vector<NamedText> &files, FaultRunRecords &records)
+// Runs faults, load and applies, and collects the records. Returns false if the last change was
+// never accepted.
+bool runAndRecord(Fleet &fleet, const ExperimentOptions &options, const std::vector<NamedText> &files, FaultRunRecords &records)
 {
     const auto schedule = scheduleFaults(options.seed, fleet.size(), fleet.dataCentres(), options.quick ? QuickLength : Length);
     FaultPlayer player(fleet);
     player.backUp();
     StatusPoller poller(fleet);
     records.begin = Clock::now();
-    std::thread callers([&] { records.calls = sendCalls(fleet, options.seed, lastEnd(schedule) + CallsAfterFaults); });
-    RacingOperators operators({.nodes = controls(fleet), .files = files, .interval = applyInterval(options.seed), .seed = options.seed});
+    std::thread callers([&] { records.calls = sendCalls(fleet, options.seed, lastFaultEnd(schedule) + CallsAfterFaults); });
+    RacingOperators operators({.nodes = controlEndpoints(fleet), .files = files, .interval = applyInterval(options.seed), .seed = options.seed});
     records.faults = player.play(schedule);
     records.applies = operators.stop();
-    const bool applied = applyLast(fleet, options.seed, files.front(), "last", records.applies);
+    const bool applied = applyUntilAccepted(fleet, options.seed, files.front(), "last", records.applies);
     records.heads = headHistory(fleet);
     const auto *last = lastHead(records);
     if (last != nullptr) {
         fleet.waitForAll([&](const nlohmann::json &status) { return status.value("digest", "") == last->digest.value(); }, InForceLimit);
     }
     callers.join();
-    // The poller's next round sees what this wait saw.
+    // Gives the poller time to sample the state that the wait above has seen.
     std::this_thread::sleep_for(5 * StatusPoller::Step);
     records.live = liveNodes(fleet);
     records.samples = poller.stop();
@@ -173,18 +174,18 @@
     return applied;
 }
 
-std::int64_t sinceBegin(const FaultRunRecords &records, TimePoint time)
+std::int64_t millisecondsSinceBegin(const FaultRunRecords &records, TimePoint time)
 {
     return std::chrono::duration_cast<Milliseconds>(time - records.begin).count();
 }
 
-std::size_t countOf(const FaultRunRecords &records, CallOutcome outcome)
+std::size_t countWithOutcome(const FaultRunRecords &records, CallOutcome outcome)
 {
     return static_cast<std::size_t>(std::count_if(records.calls.begin(), records.calls.end(), [&](const CallRecord &call) { return call.outcome == outcome; }));
 }
 
-// Time from the acceptance of the last change to the last node's first answer
-// with it, in steps of the polling; -1 if a node never gave it.
+// Milliseconds from the acceptance of the last change until the last node reported it, with the
+// resolution of the polling interval; -1 if a node never reported it.
 std::int64_t convergence(const FaultRunRecords &records)
 {
     std::map<std::size_t, TimePoint> seen;
@@ -201,23 +202,26 @@
     return seen.size() < records.live.size() ? -1 : std::chrono::duration_cast<Milliseconds>(latest - records.applies.back().ended).count();
 }
 
-nlohmann::ordered_json describe(const FaultRunRecords &records, const std::vector<Violation> &violations)
+nlohmann::ordered_json toJson(const FaultRunRecords &records, const std::vector<Violation> &violations)
 {
     nlohmann::ordered_json json;
     json["faults"] = nlohmann::json::array();
     for (const auto &fault : records.faults) {
-        json["faults"].push_back(
-            {{"kind", fault.kind}, {"begin_ms", sinceBegin(records, fault.begin)}, {"end_ms", sinceBegin(records, fault.end)}, {"nodes", fault.nodes}});
+        json["faults"].push_back({{"kind", fault.kind},
+            {"begin_ms", millisecondsSinceBegin(records, fault.begin)},
+            {"end_ms", millisecondsSinceBegin(records, fault.end)},
+            {"nodes", fault.nodes}});
     }
     json["violations"] = nlohmann::json::array();
     for (const auto &violation : violations) {
-        json["violations"].push_back({{"promise", violation.promise}, {"record", violation.record}, {"when_ms", sinceBegin(records, violation.when)}});
+        json["violations"].push_back(
+            {{"promise", violation.promise}, {"record", violation.record}, {"when_ms", millisecondsSinceBegin(records, violation.when)}});
     }
     json["calls"] = records.calls.size();
-    json["calls_answered"] = countOf(records, CallOutcome::Answered);
-    json["calls_refused_not_run"] = countOf(records, CallOutcome::NotRun);
-    json["calls_outcome_unknown"] = countOf(records, CallOutcome::Unknown);
-    json["answers_crossed"] = countOf(records, CallOutcome::Crossed);
+    json["calls_answered"] = countWithOutcome(records, CallOutcome::Answered);
+    json["calls_refused_not_run"] = countWithOutcome(records, CallOutcome::NotRun);
+    json["calls_outcome_unknown"] = countWithOutcome(records, CallOutcome::Unknown);
+    json["answers_crossed"] = countWithOutcome(records, CallOutcome::Crossed);
     json["orders_run_twice"] = checkRunAtMostOnce(records).size();
     json["refused_but_run"] = checkRefusals(records).size();
     json["answers_lost"] = checkOwnAnswers(records).size();
@@ -234,8 +238,9 @@
 
 bool runFaults(const ExperimentOptions &options)
 {
-    // Orders take long enough that some are always in flight; lots outlast the
-    // pauses of a planned stop, so that only its wait for them saves them.
+    // Calls of ventas (orders) take long enough that some are always in flight. Calls of taller
+    // (lots) take longer than the pauses of a planned stop, so that they only complete if the
+    // stopping node waits for them.
     Fleet fleet({.programs = options.programs,
         .folder = options.folder,
         .nodes = Nodes,
@@ -246,20 +251,22 @@
     const auto begin = Clock::now();
     const auto files = exampleFiles(options.examples);
     const auto started = fleet.start();
-    if (!started || !applyFirst(fleet, files)) {
-        fmt::print(stderr, "{}\n", started ? "the first files don't come into force" : started.error().message);
+    if (!started || !applyInitialFiles(fleet, files)) {
+        fmt::print(stderr,
+            "{}\n",
+            started ? "the first files did not come into force within the time limit; see the logs in the folder of the run" : started.error().message);
         return false;
     }
     FaultRunRecords records;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         records.services.push_back(fleet.service(node).name);
     }
-    const bool applied = record(fleet, options, files, records);
+    const bool applied = runAndRecord(fleet, options, files, records);
     const auto unclean = fleet.stop();
     const auto violations = checkAllPromises(records);
     nlohmann::ordered_json line
         = {{"bench", "faults"}, {"commit", options.commit}, {"seed", options.seed}, {"nodes", Nodes}, {"seconds", 0}, {"last_apply_accepted", applied}};
-    line.update(describe(records, violations));
+    line.update(toJson(records, violations));
     line["unclean_stops"] = unclean;
     line["seconds"] = std::chrono::duration<double>(Clock::now() - begin).count();
     fmt::print("{}\n", line.dump());
--- a/bench/faultschedule.cpp
+++ b/bench/faultschedule.cpp
@@ -10,37 +10,37 @@
 enum class Scope {
     Platform,
     OneNode,
-    // Three nodes, one after the other.
+    // Three nodes, one after another.
     RollingNodes,
     // Two thirds of all nodes at once.
-    Herd,
+    MostNodes,
     OneDataCentre,
     AllNodes,
 };
 
-struct Kind
+struct FaultKind
 {
     const char *name;
     Scope scope;
     Milliseconds duration;
 };
 
-// Pauses outlast the suspicion timeout, so that the paused node wakes after
-// everybody has counted it as gone.
-const std::vector<Kind> &kinds()
+// Pauses take longer than the suspicion timeout, so that a paused node resumes after all others
+// have declared it gone.
+const std::vector<FaultKind> &faultKinds()
 {
-    static const std::vector<Kind> all = {
+    static const std::vector<FaultKind> all = {
         {"platform-down", Scope::Platform, Milliseconds(4000)},
         {"platform-slow", Scope::Platform, Milliseconds(4000)},
         {"platform-lose-answers", Scope::Platform, Milliseconds(4000)},
         {"platform-stall-watches", Scope::Platform, Milliseconds(5000)},
         {"platform-restore", Scope::Platform, Milliseconds(1000)},
-        {"herd-kill", Scope::Herd, Milliseconds(2500)},
+        {"herd-kill", Scope::MostNodes, Milliseconds(2500)},
         {"fleet-kill", Scope::AllNodes, Milliseconds(2500)},
-        {"restore-herd-kill", Scope::Herd, Milliseconds(2500)},
+        {"restore-herd-kill", Scope::MostNodes, Milliseconds(2500)},
         {"node-kill", Scope::OneNode, Milliseconds(2500)},
         {"node-pause", Scope::OneNode, Milliseconds(7000)},
-        {"herd-pause", Scope::Herd, Milliseconds(6500)},
+        {"herd-pause", Scope::MostNodes, Milliseconds(6500)},
         {"link-cut", Scope::OneDataCentre, Milliseconds(6000)},
         {"link-loss", Scope::AllNodes, Milliseconds(5000)},
         {"node-stop", Scope::RollingNodes, Milliseconds(3500)},
@@ -70,7 +70,7 @@
 private:
     std::vector<std::size_t> sample(std::size_t count);
     std::vector<std::size_t> nodesOf(Scope scope);
-    Milliseconds add(const Kind &kind, Milliseconds begin);
+    Milliseconds add(const FaultKind &kind, Milliseconds begin);
     bool chance(double probability);
 
     std::mt19937_64 m_random;
@@ -104,7 +104,7 @@
         return sample(1);
     case Scope::RollingNodes:
         return sample(RollingNodes);
-    case Scope::Herd:
+    case Scope::MostNodes:
         return sample(m_nodes * 2 / 3);
     case Scope::AllNodes:
         return sample(m_nodes);
@@ -119,7 +119,7 @@
     return nodes;
 }
 
-Milliseconds Scheduler::add(const Kind &kind, Milliseconds begin)
+Milliseconds Scheduler::add(const FaultKind &kind, Milliseconds begin)
 {
     const auto nodes = nodesOf(kind.scope);
     if (kind.scope != Scope::RollingNodes) {
@@ -136,13 +136,13 @@
 
 std::vector<PlannedFault> Scheduler::run(Milliseconds length)
 {
-    const auto choose = [&]() -> const Kind & { return kinds()[std::uniform_int_distribution<std::size_t>(0, kinds().size() - 1)(m_random)]; };
+    const auto choose = [&]() -> const FaultKind & { return faultKinds()[std::uniform_int_distribution<std::size_t>(0, faultKinds().size() - 1)(m_random)]; };
     Milliseconds at{0};
     while (at < length) {
         const auto &first = choose();
         auto end = add(first, at);
         const auto &second = choose();
-        // Two faults of processes at once could touch one process twice.
+        // Two concurrent faults of nodes or targets could affect the same process.
         if (chance(0.5) && (first.scope == Scope::Platform) != (second.scope == Scope::Platform)) {
             end = std::max(end, add(second, at + Milliseconds(500)));
         } else if (chance(0.4)) {
--- a/bench/faultschedule.h
+++ b/bench/faultschedule.h
@@ -8,8 +8,7 @@
 
 namespace Galenahill {
 
-// A fault to play: what, when and at which nodes. Times count from the begin
-// of the schedule.
+// A fault to inject: kind, nodes, and times relative to the start of the schedule.
 struct PlannedFault
 {
     std::string kind;
@@ -18,10 +17,9 @@
     std::vector<std::size_t> nodes;
 };
 
-// The faults of one seed: rounds of one or two faults at once, some of them
-// twice in a row. Faults of one moment touch different nodes, or one of them
-// the platform. No round begins after the length. The same
-// seed gives the same schedule.
+// Returns the schedule that belongs to the seed: rounds of one fault, of one fault that is repeated,
+// or of two faults at once, of which exactly one affects the platform. Other concurrent faults affect
+// different nodes. No round begins after the length. The same seed always gives the same schedule.
 std::vector<PlannedFault> scheduleFaults(std::uint64_t seed, std::size_t nodes, std::size_t dataCentres, Milliseconds length);
 
 }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -24,19 +24,19 @@
 constexpr Milliseconds StatusTimeout{2000};
 constexpr Milliseconds StartTimeout{60000};
 
-struct Slot
+struct NodeProcesses
 {
     std::unique_ptr<ChildProcess> node;
     std::unique_ptr<ChildProcess> target;
 };
 
-asio::awaitable<void> askStatus(HttpClient &client, Endpoint endpoint, std::optional<nlohmann::json> &result)
+asio::awaitable<void> requestStatus(HttpClient &client, Endpoint endpoint, std::optional<nlohmann::json> &result)
 {
     HttpRequest request(http::verb::get, "/status", 11);
     request.set(http::field::host, toString(endpoint));
-    const auto answer = co_await client.exchange(endpoint, std::move(request), Clock::now() + StatusTimeout);
-    if (answer && answer->result() == http::status::ok) {
-        result = nlohmann::json::parse(answer->body(), nullptr, false);
+    const auto response = co_await client.exchange(endpoint, std::move(request), Clock::now() + StatusTimeout);
+    if (response && response->result() == http::status::ok) {
+        result = nlohmann::json::parse(response->body(), nullptr, false);
     }
 }
 
@@ -53,7 +53,7 @@
     }
 
     Options options;
-    std::vector<Slot> slots;
+    std::vector<NodeProcesses> slots;
     std::unique_ptr<ChildProcess> platform;
     asio::io_context context{1};
     HttpClient client;
@@ -78,8 +78,8 @@
     : d(std::make_unique<Private>(std::move(options)))
 {
     std::filesystem::create_directories(d->options.folder);
-    // Logs are appended to, since processes are restarted; an earlier run's
-    // executions in them would count as this run's.
+    // Processes append to their logs, since they are restarted. Calls that an earlier run logged
+    // would count as calls of this run.
     for (const auto &entry : std::filesystem::directory_iterator(d->options.folder)) {
         if (entry.path().extension() == ".log" || entry.path().extension() == ".ini") {
             std::filesystem::remove(entry.path());
@@ -133,7 +133,7 @@
 
 const Fleet::Service &Fleet::service(std::size_t node) const
 {
-    // Data centres cycle fastest, so that each service has targets in all.
+    // Consecutive nodes are in different data centres, so that each service has targets in all of them.
     return d->options.services[(node / d->options.dataCentres.size()) % d->options.services.size()];
 }
 
@@ -187,7 +187,7 @@
 Result<void> Fleet::start()
 {
     for (std::size_t node = 0; node < size(); ++node) {
-        // Runs of an earlier fleet in this folder would count as this one's.
+        // Calls that an earlier fleet logged in this folder would count as calls of this one.
         std::filesystem::remove(d->path(fmt::format("target-{}.log", node)));
     }
     startPlatform();
@@ -205,7 +205,7 @@
         StartTimeout,
         Milliseconds(50));
     if (!joined) {
-        return failure(ErrorKind::Unavailable, fmt::format("the fleet didn't come together; see the logs in {}", d->options.folder));
+        return failure(ErrorKind::Unavailable, fmt::format("not all nodes knew all members and were ready in time; see the logs in {}", d->options.folder));
     }
     return {};
 }
@@ -245,7 +245,7 @@
 std::optional<nlohmann::json> Fleet::status(std::size_t node) const
 {
     std::optional<nlohmann::json> result;
-    asio::co_spawn(d->context, askStatus(d->client, control(node), result), asio::detached);
+    asio::co_spawn(d->context, requestStatus(d->client, control(node), result), asio::detached);
     d->context.restart();
     d->context.run();
     return result;
@@ -259,7 +259,7 @@
         std::vector<std::optional<nlohmann::json>> results(size());
         for (std::size_t node = 0; node < size(); ++node) {
             if (!done[node] && d->slots[node].node && d->slots[node].node->running()) {
-                asio::co_spawn(d->context, askStatus(d->client, control(node), results[node]), asio::detached);
+                asio::co_spawn(d->context, requestStatus(d->client, control(node), results[node]), asio::detached);
             }
         }
         d->context.restart();
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -15,8 +15,8 @@
 
 namespace Galenahill {
 
-// One execution that a target wrote into its ledger as it began, by the steady
-// clock that all processes of one machine share.
+// A call that a target ran, written to its ledger when the call started. The time is from the
+// steady clock that all processes of one machine share.
 struct LedgerEntry
 {
     std::string call;
@@ -24,8 +24,8 @@
     TimePoint time;
 };
 
-// A fleet of real processes on loopback addresses: the platform stand-in, and
-// nodes with a target stand-in beside each.
+// A fleet of real processes on loopback addresses: the platform stand-in, and nodes (galenahilld)
+// that have a target stand-in each.
 class Fleet
 {
 public:
@@ -35,7 +35,7 @@
         std::uint32_t slots = 6;
         std::uint32_t serviceMicroseconds = 2000;
         std::uint32_t coldStartMs = 0;
-        // Calls that a target lets wait for a slot; beyond them it refuses.
+        // Maximum number of calls that wait for a slot at a target; it rejects further ones.
         std::uint32_t backlog = 0;
     };
 
@@ -43,33 +43,33 @@
     {
         // Folder with the built programs.
         std::string programs;
-        // Folder for settings and logs; made if missing.
+        // Folder for settings and logs; created if missing.
         std::string folder;
-        // Second number of all addresses, so that two fleets can run at once;
-        // by default $GALENAHILL_TEST_NETWORK, else 20.
+        // Second octet of all addresses, so that two fleets can run at once. Defaults to
+        // $GALENAHILL_TEST_NETWORK, or 20 if that is unset.
         std::uint8_t network = defaultNetwork();
         std::size_t nodes = 8;
         std::vector<std::string> dataCentres;
         // Node i serves services[i % services.size()].
         std::vector<Service> services;
-        // False leaves the targets out, for runs that make no calls.
+        // False starts no targets, for runs that make no calls.
         bool targets = true;
-        // Targets write each execution to their log, so that a killed one's
-        // ledger isn't lost.
+        // Targets write each call that they run to their log, so that the ledger of a killed target
+        // isn't lost.
         bool logRuns = false;
-        // Further lines of each node's settings.
+        // Additional lines for each node's settings file.
         std::string settings;
     };
 
     explicit Fleet(Options options);
     ~Fleet();
 
-    // Starts all and waits until each node knows all members.
+    // Starts all processes and waits until each node knows all members.
     Result<void> start();
 
     std::size_t size() const;
 
-    // Number of data centres; node i is in number i modulo this.
+    // Number of data centres. Node i is in data centre i modulo this number.
     std::size_t dataCentres() const;
     Endpoint platform() const;
     Endpoint ingress(std::size_t node) const;
@@ -82,26 +82,25 @@
     void startNode(std::size_t node);
     void startTarget(std::size_t node);
 
-    // Null before the start.
+    // Null before the process was first started.
     ChildProcess *nodeProcess(std::size_t node);
     ChildProcess *targetProcess(std::size_t node);
     ChildProcess *platformProcess();
 
-    // The executions that targets wrote to their logs as call id, node and
-    // time, in no order over nodes.
+    // Returns the calls that the targets ran, read from their logs. They are ordered for each node,
+    // but not across nodes.
     std::vector<LedgerEntry> loggedRuns() const;
 
-    // Status of a node as it answers on its control port, or nothing.
+    // Requests the status on a node's control port; empty if the node doesn't respond.
     std::optional<nlohmann::json> status(std::size_t node) const;
 
-    // Waits until the predicate holds for the status of each running node;
-    // gives the time waited, or nothing after the limit. Nodes are asked in
-    // parallel once per polling step.
+    // Polls the status of all running nodes in parallel, once per step, until each has satisfied the
+    // predicate. Returns the time waited, or nothing once the limit has passed.
     std::optional<Milliseconds> waitForAll(
         const std::function<bool(const nlohmann::json &)> &predicate, Milliseconds limit, Milliseconds step = Milliseconds(5));
 
-    // Sends SIGTERM to all nodes, waits for them, then ends the rest. Gives
-    // the number of nodes that didn't exit with 0.
+    // Sends SIGTERM to all nodes, waits for them, then kills the targets and the platform. Returns
+    // the number of nodes that didn't exit with code 0.
     std::size_t stop();
 
     static std::uint8_t defaultNetwork();
--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct Plan
+struct PlannedCall
 {
     Endpoint ingress;
     const LoadGenerator::CallKind *kind = nullptr;
@@ -29,16 +29,16 @@
     if (response->result() != http::status::ok) {
         return CallOutcome::Unknown;
     }
-    const bool own = (*response)[idField] == id && response->body() == "done " + id;
-    return own ? CallOutcome::Answered : CallOutcome::Crossed;
+    const bool matches = (*response)[idField] == id && response->body() == "done " + id;
+    return matches ? CallOutcome::Answered : CallOutcome::Crossed;
 }
 
-asio::awaitable<void> sendCall(HttpClient &client, const LoadGenerator::Options &options, Plan plan, TimePoint deadline, CallRecord &record)
+asio::awaitable<void> sendCall(HttpClient &client, const LoadGenerator::Options &options, PlannedCall call, TimePoint deadline, CallRecord &record)
 {
     const auto idField = options.dialect.requestId.empty() ? std::string("Request-Id") : options.dialect.requestId;
-    const auto verb = http::string_to_verb(plan.kind->method);
-    HttpRequest request(verb, plan.kind->path, 11);
-    request.set(http::field::host, options.host.empty() ? toString(plan.ingress) : options.host);
+    const auto verb = http::string_to_verb(call.kind->method);
+    HttpRequest request(verb, call.kind->path, 11);
+    request.set(http::field::host, options.host.empty() ? toString(call.ingress) : options.host);
     request.set(idField, record.id);
     if (!options.dialect.requestId.empty()) {
         request.set(options.dialect.timeLeft, std::to_string(options.timeout.count()));
@@ -46,8 +46,8 @@
     if (verb == http::verb::post) {
         request.body() = "order " + record.id;
     }
-    const auto response = co_await client.exchange(plan.ingress, std::move(request), deadline);
-    record.latency = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - plan.scheduled);
+    const auto response = co_await client.exchange(call.ingress, std::move(request), deadline);
+    record.latency = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - call.scheduled);
     record.outcome = outcomeOf(response, record.id, idField);
     record.status = response ? static_cast<int>(response->result_int()) : 0;
 }
@@ -77,8 +77,8 @@
         record.ingress = chooseIngress(random);
         record.idempotent = kind.idempotent;
         record.scheduled = offset;
-        Plan plan{options.ingresses[record.ingress], &kind, begin + offset};
-        asio::co_spawn(context, sendCall(client, options, std::move(plan), Clock::now() + options.timeout, record), asio::detached);
+        PlannedCall call{options.ingresses[record.ingress], &kind, begin + offset};
+        asio::co_spawn(context, sendCall(client, options, std::move(call), Clock::now() + options.timeout, record), asio::detached);
     }
 }
 
--- a/bench/loadgenerator.h
+++ b/bench/loadgenerator.h
@@ -11,34 +11,34 @@
 namespace Galenahill {
 
 enum class CallOutcome {
-    // The whole answer to this very call came.
+    // The complete response to this call arrived.
     Answered,
-    // Refused, and said not to have run.
+    // Rejected; the response says that the call did not run.
     NotRun,
-    // Failed, and said that it may have run; or no answer came.
+    // Failed with a response that says that the call may have run, or without a response.
     Unknown,
-    // An answer came that belongs to another call.
+    // A response arrived that belongs to another call.
     Crossed,
 };
 
-// What became of one call, as its caller saw it.
+// The result of one call as seen by its caller.
 struct CallRecord
 {
     std::string id;
     std::string path;
-    // Index of the ingress that took it.
+    // Index of the ingress that the call was sent to.
     std::size_t ingress = 0;
     bool idempotent = false;
     CallOutcome outcome = CallOutcome::Unknown;
     int status = 0;
-    // From the scheduled time to the whole answer, so that a stall counts for
-    // every call that it delays.
+    // Time from the scheduled send time to the complete response, so that a stall counts for every
+    // call that it delays (no coordinated omission).
     std::chrono::microseconds latency{0};
-    // From the start of the run.
+    // Scheduled send time, relative to the start of the run.
     std::chrono::microseconds scheduled{0};
 };
 
-// Sends calls at a fixed rate whatever becomes of earlier ones (open loop).
+// Open-loop load generator: sends calls at a fixed rate, whether or not earlier ones have ended.
 class LoadGenerator
 {
 public:
@@ -54,22 +54,22 @@
     {
         std::vector<Endpoint> ingresses;
         std::vector<CallKind> kinds;
-        // Calls a second.
+        // Calls per second.
         double rate = 1000;
         std::size_t calls = 1000;
         Milliseconds timeout{5000};
         std::uint64_t seed = 1;
-        // Begins each call's id, so that several runs share ledgers.
+        // Prefix of each call id, so that several runs can share the targets' ledgers.
         std::string idPrefix = "r";
-        // Names of the fields that callers use, and the host that they name; by
-        // default those of the INI nodes, and the ingress itself.
+        // Names of the header fields that callers send, and the value of their Host field. By default
+        // the fields that galenahilld expects, and the address of the ingress.
         CallDialect dialect;
         std::string host;
     };
 
     explicit LoadGenerator(Options options);
 
-    // Sends all calls and waits for each; the records are in sending order.
+    // Sends all calls and waits until each has ended. The records are in the order of sending.
     std::vector<CallRecord> run();
 
 private:
--- a/bench/platformfleet.cpp
+++ b/bench/platformfleet.cpp
@@ -34,18 +34,18 @@
 class PlatformFleet::Private
 {
 public:
-    struct Slot
+    struct NodeProcesses
     {
         std::unique_ptr<ChildProcess> node;
         std::unique_ptr<ChildProcess> target;
-        // Each start of a target is another one to the fleet.
+        // Each start of a target gets a new target id, so that the fleet sees a different target.
         int targetStarts = 0;
         bool startedBefore = false;
     };
 
     Options options;
     std::unique_ptr<ChildProcess> store;
-    std::vector<Slot> slots;
+    std::vector<NodeProcesses> slots;
 
     std::string address(std::size_t node) const
     {
@@ -139,7 +139,7 @@
         return written;
     }
     if (!waitUntilReady(StartLimit)) {
-        return failure(ErrorKind::Unavailable, "the fleet didn't get ready; see the logs in " + d->options.folder);
+        return failure(ErrorKind::Unavailable, "not all nodes became ready in time; see the logs in " + d->options.folder);
     }
     return {};
 }
@@ -160,22 +160,22 @@
 {
     HttpRequest request(http::verb::get, "/ready", 11);
     request.set(http::field::host, "node");
-    const auto answer = blockingExchange({d->address(node), ReadinessPort}, std::move(request), ReadinessTimeout);
-    return answer && answer->result() == http::status::ok;
+    const auto response = blockingExchange({d->address(node), ReadinessPort}, std::move(request), ReadinessTimeout);
+    return response && response->result() == http::status::ok;
 }
 
 bool PlatformFleet::waitUntilReady(Milliseconds limit) const
 {
     const auto until = Clock::now() + limit;
-    std::size_t known = 0;
-    while (known < size() && Clock::now() < until) {
-        if (ready(known)) {
-            ++known;
+    std::size_t readyNodes = 0;
+    while (readyNodes < size() && Clock::now() < until) {
+        if (ready(readyNodes)) {
+            ++readyNodes;
         } else {
             std::this_thread::sleep_for(PollInterval);
         }
     }
-    return known == size();
+    return readyNodes == size();
 }
 
 void PlatformFleet::startStore()
--- a/bench/platformfleet.h
+++ b/bench/platformfleet.h
@@ -11,39 +11,39 @@
 
 namespace Galenahill {
 
-// A fleet as the users' platform runs it, of real processes on loopback addresses:
-// the store's stand-in, and nodes (galenahillnode) with a target stand-in beside
-// each, which announces itself.
+// A fleet of real processes on loopback addresses, set up as on the platform: the stand-in for the
+// platform's store, and nodes (galenahillnode) that have a target stand-in each, which announces
+// itself to its node.
 class PlatformFleet
 {
 public:
     struct Options
     {
-        // Folder with the built programs, and the repository's root.
+        // Folder with the built programs, and root of the repository.
         std::string programs;
         std::string sources;
-        // Folder for settings and logs; made if missing, emptied of both.
+        // Folder for settings and logs; deleted and created anew.
         std::string folder;
-        // Second number of all addresses.
+        // Second octet of all addresses.
         std::uint8_t network = 30;
         std::size_t nodes = 4;
         // Node i serves services[i % services.size()].
         std::vector<std::string> services;
         std::uint32_t slots = 4;
         std::chrono::microseconds serviceTime{20000};
-        // Nodes reach store and targets at addresses of their own, where the
-        // harness relays to them.
+        // Nodes reach the store and their targets through separate addresses, on which the harness
+        // runs proxies.
         bool proxied = false;
     };
 
     explicit PlatformFleet(Options options);
     ~PlatformFleet();
 
-    // Starts the store, the targets and the nodes, and gives them their first
-    // configuration; waits until every node takes calls.
+    // Starts the store, the targets and the nodes, writes the first configuration, and waits until
+    // every node accepts calls.
     Result<void> start(const std::string &configuration);
 
-    // Writes the configuration document into the store, as the operator does.
+    // Writes the configuration document to the store, as the operator does.
     Result<void> configure(const std::string &configuration);
 
     std::size_t size() const;
@@ -51,11 +51,11 @@
     Endpoint ingress(std::size_t node) const;
     Endpoint target(std::size_t node) const;
 
-    // Where nodes reach the store, and a node its target.
+    // Addresses at which the nodes reach the store, and a node its target.
     Endpoint storeForNodes() const;
     Endpoint targetForNode(std::size_t node) const;
 
-    // Whether the node says that it is ready.
+    // Whether the readiness endpoint of the node reports ready.
     bool ready(std::size_t node) const;
     bool waitUntilReady(Milliseconds limit) const;
 
@@ -66,10 +66,10 @@
     ChildProcess &nodeProcess(std::size_t node);
     ChildProcess &targetProcess(std::size_t node);
 
-    // The log that the node wrote, over all its starts.
+    // Path of the node's log file, which contains the output of all its starts.
     std::string nodeLog(std::size_t node) const;
 
-    // Ids of the calls that the targets ran, once for each time.
+    // Ids of the calls that the targets ran; an id occurs once for each execution.
     std::vector<std::string> runs() const;
 
 private:
--- a/bench/processusage.cpp
+++ b/bench/processusage.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Positions in /proc/PID/stat, counted after the closing parenthesis of the
-// program's name.
+// Positions of fields in /proc/PID/stat, counted from zero after the closing parenthesis of the
+// program name.
 constexpr int UserTimeField = 11;
 constexpr int ResidentPagesField = 21;
 
--- a/bench/processusage.h
+++ b/bench/processusage.h
@@ -5,7 +5,7 @@
 
 namespace Galenahill {
 
-// Processor time and memory of a fleet's nodes as the kernel counts them.
+// CPU time and memory of a fleet's nodes as reported by the kernel.
 struct ProcessUsage
 {
     double cpuSeconds = 0;
@@ -13,7 +13,8 @@
     TimePoint at;
 };
 
-// Adds up the running nodes, without targets and stand-ins.
+// Sums the CPU time of the running nodes, and takes the largest memory of one. Targets and the
+// platform stand-in are not included.
 ProcessUsage processUsage(Fleet &fleet);
 
 }
--- a/bench/racingoperators.cpp
+++ b/bench/racingoperators.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-// Every so many applies one file is bad.
-constexpr std::size_t BadEvery = 5;
+// One of this many applies of an operator is of an invalid file.
+constexpr std::size_t InvalidFileInterval = 5;
 
-// Its route names a service that no file defines.
-constexpr const char *BadText = "[route hanging]\npath = /hanging\nmethods = GET\nservice = venta\nidempotent = yes\ntimeout-ms = 1000\n";
+// Invalid, since its route names a service that no file defines.
+constexpr const char *InvalidFileText = "[route hanging]\npath = /hanging\nmethods = GET\nservice = venta\nidempotent = yes\ntimeout-ms = 1000\n";
 
 }
 
@@ -32,8 +32,8 @@
     std::vector<ApplyRecord> records;
     std::vector<std::thread> threads;
 
-    void work(std::size_t number);
-    ApplyRecord applyOne(std::size_t number, std::size_t turn, std::mt19937_64 &random) const;
+    void runOperator(std::size_t number);
+    ApplyRecord applyOne(std::size_t number, std::size_t sequence, std::mt19937_64 &random) const;
 };
 
 RacingOperators::RacingOperators(Options options)
@@ -41,7 +41,7 @@
 {
     d->options = std::move(options);
     for (std::size_t number = 0; number < d->options.operators; ++number) {
-        d->threads.emplace_back([this, number] { d->work(number); });
+        d->threads.emplace_back([this, number] { d->runOperator(number); });
     }
 }
 
@@ -72,12 +72,12 @@
     return record;
 }
 
-ApplyRecord RacingOperators::Private::applyOne(std::size_t number, std::size_t turn, std::mt19937_64 &random) const
+ApplyRecord RacingOperators::Private::applyOne(std::size_t number, std::size_t sequence, std::mt19937_64 &random) const
 {
     const auto &node = options.nodes[random() % options.nodes.size()];
-    const auto id = fmt::format("operator{}-{}", number, turn);
-    if (turn % BadEvery == BadEvery - 1) {
-        auto record = apply(node, id, "hanging.ini", BadText);
+    const auto id = fmt::format("operator{}-{}", number, sequence);
+    if (sequence % InvalidFileInterval == InvalidFileInterval - 1) {
+        auto record = apply(node, id, "hanging.ini", InvalidFileText);
         record.bad = true;
         return record;
     }
@@ -85,11 +85,11 @@
     return apply(node, id, name, fmt::format("{}\n; {}\n", text, id));
 }
 
-void RacingOperators::Private::work(std::size_t number)
+void RacingOperators::Private::runOperator(std::size_t number)
 {
     std::mt19937_64 random(options.seed * options.operators + number);
-    for (std::size_t turn = 1; !stopping; ++turn) {
-        // All operators wait for the same moment, so their applies race.
+    for (std::size_t sequence = 1; !stopping; ++sequence) {
+        // All operators wait for the same time, so that their applies conflict.
         const auto passed = (Clock::now() - begin) / options.interval;
         const auto next = begin + (passed + 1) * options.interval;
         while (!stopping && Clock::now() < next) {
@@ -98,7 +98,7 @@
         if (stopping) {
             break;
         }
-        auto record = applyOne(number, turn, random);
+        auto record = applyOne(number, sequence, random);
         const std::lock_guard lock(mutex);
         records.push_back(std::move(record));
     }
--- a/bench/racingoperators.h
+++ b/bench/racingoperators.h
@@ -7,15 +7,15 @@
 
 namespace Galenahill {
 
-// Operators that apply changes of the example files through random nodes, all
-// at the same moments, and now and then a file that must be refused.
+// Operators that apply changes of the example files through random nodes at the same time, so that
+// their applies conflict. Some of the applies are of an invalid file, which must be rejected.
 class RacingOperators
 {
 public:
     struct Options
     {
         std::vector<Endpoint> nodes;
-        // File names and texts that every change is based on.
+        // Names and texts of the files that the changes are based on.
         std::vector<std::pair<std::string, std::string>> files;
         std::size_t operators = 2;
         Milliseconds interval{1000};
@@ -25,10 +25,10 @@
     explicit RacingOperators(Options options);
     ~RacingOperators();
 
-    // Lets the applies under way end and gives the records of all.
+    // Waits for the applies in progress and returns the records of all.
     std::vector<ApplyRecord> stop();
 
-    // One apply through a node, as an operator makes it.
+    // Applies one file through a node, as an operator does.
     static ApplyRecord apply(const Endpoint &node, const std::string &id, const std::string &file, const std::string &text);
 
 private:
--- a/bench/reconciliation.cpp
+++ b/bench/reconciliation.cpp
@@ -17,11 +17,11 @@
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         HttpRequest request(http::verb::get, "/ledger", 11);
         request.set(http::field::host, toString(fleet.target(node)));
-        const auto answer = blockingExchange(fleet.target(node), std::move(request), LedgerTimeout);
-        if (!answer) {
+        const auto response = blockingExchange(fleet.target(node), std::move(request), LedgerTimeout);
+        if (!response) {
             continue;
         }
-        std::istringstream lines(answer->body());
+        std::istringstream lines(response->body());
         std::string id;
         while (std::getline(lines, id)) {
             ++executions[id];
--- a/bench/reconciliation.h
+++ b/bench/reconciliation.h
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-// The callers' records held against the ledgers of all targets.
+// Result of comparing the callers' records with the ledgers of all targets.
 struct Reconciliation
 {
     std::size_t sent = 0;
@@ -17,9 +17,9 @@
     std::size_t crossed = 0;
     // Non-idempotent calls that ran more than once.
     std::size_t runTwice = 0;
-    // Calls said not to have run that did.
+    // Calls that were rejected as not run, but ran.
     std::size_t refusedButRun = 0;
-    // Calls answered as done that no target ran.
+    // Calls with a successful response that no target ran.
     std::size_t lost = 0;
 
     bool holds() const
@@ -28,7 +28,7 @@
     }
 };
 
-// Reads the ledgers of the fleet's running targets and compares.
+// Reads the ledgers of the fleet's running targets and compares them with the callers' records.
 Reconciliation reconcile(const Fleet &fleet, const std::vector<CallRecord> &records);
 
 }
--- a/bench/sampledocument.h
+++ b/bench/sampledocument.h
@@ -5,7 +5,7 @@
 
 namespace Galenahill {
 
-// A route of a configuration document as the platform's operator writes it.
+// A route in a configuration document of the platform.
 struct SampleRoute
 {
     std::string name;
@@ -15,8 +15,8 @@
     double objectiveSeconds = 0.5;
 };
 
-// A whole document with these routes, each of which takes the paths below its name,
-// for one host. `sources` is the repository's root.
+// Returns a complete configuration document for one host. Each route matches the paths below its
+// name. `sources` is the root of the repository.
 std::string sampleDocument(const std::string &sources, int revision, const std::string &host, const std::vector<SampleRoute> &routes);
 
 }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -25,7 +25,7 @@
     return mallinfo2().uordblks + mallinfo2().hblkhd;
 }
 
-// Microseconds that one run of the work takes, over several runs.
+// Average time of one run of the work, in microseconds.
 template <typename Work>
 double microseconds(std::size_t runs, const Work &work)
 {
@@ -60,7 +60,7 @@
     return records;
 }
 
-// A configuration of that many files with two services and eight routes each.
+// Returns that many configuration files with two services and eight routes each.
 std::vector<ConfigFile> configFiles(std::size_t count)
 {
     std::vector<ConfigFile> files;
@@ -153,9 +153,9 @@
     const auto heap = heapBytes() - before;
     const auto validate = microseconds(5, [&] { (void)ConfigSnapshot::validate(files); });
     const auto old = encode((*revision)->bundle);
-    const auto fresh = encode(bundleOf(changed, 8));
+    const auto updated = encode(bundleOf(changed, 8));
     std::string delta;
-    const auto compress = microseconds(5, [&] { delta = compressDelta(fresh, old); });
+    const auto compress = microseconds(5, [&] { delta = compressDelta(updated, old); });
     const auto expand = microseconds(5, [&] { (void)expandDelta(delta, old); });
     const auto &snapshot = *(*revision)->snapshot;
     const auto &route = snapshot.routes().back();
@@ -167,7 +167,7 @@
         {"heap_bytes", heap},
         {"validate_us", validate},
         {"delta_bytes", delta.size()},
-        {"whole_zstd_bytes", compressDelta(fresh, {}).size()},
+        {"whole_zstd_bytes", compressDelta(updated, {}).size()},
         {"compress_us", compress},
         {"expand_us", expand},
         {"route_lookup_us", lookup}};
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,7 +1,6 @@
-// The programs of the users' platform under seeded faults from outside: signals to
-// their processes, a store that misbehaves, and proxies before the store and before
-// each target that delay, reset, cut or silence connections. Callers and targets
-// are what judges.
+// Soak test of a fleet of platform nodes under random faults from a seed: signals to processes,
+// faults of the store, and proxies in front of the store and of each target that delay, reset or
+// hold back data. Violations are found in the records of callers and targets.
 
 #include "adapters/http/blockinghttpclient.h"
 #include "experiments.h"
@@ -28,19 +27,19 @@
 constexpr std::size_t Nodes = 6;
 constexpr double CallsPerSecond = 150;
 
-// Each seed has addresses of its own, so that several can run at once.
+// Each seed uses its own addresses, so that several runs can go on at once.
 constexpr std::uint8_t FirstNetwork = 20;
 constexpr std::uint64_t Networks = 50;
 constexpr Milliseconds Length{8000};
 constexpr Milliseconds QuickLength{4000};
 constexpr int FaultsPerSecond = 2;
 
-// Longest fault; several overlap.
+// Upper bound of the random part of a fault's duration. Faults can overlap.
 constexpr int LongestFaultMs = 2500;
 
-// Users' bounds: a planned stop ends within its grace time, and a configuration is
-// in force within two seconds. Waited for longer, since the machine may be busy;
-// what is judged is whether it happens at all.
+// Users expect a planned stop to end within its grace period, and a configuration to be in force
+// within two seconds. The test waits longer, since the machine may be busy, and only checks that
+// both happen at all.
 constexpr Milliseconds StopLimit{9000};
 constexpr Milliseconds RecoveryLimit{15000};
 
@@ -48,8 +47,8 @@
 
 struct Violation
 {
-    std::string promise;
-    std::string record;
+    std::string guarantee;
+    std::string description;
 };
 
 class Soak
@@ -57,33 +56,33 @@
 public:
     explicit Soak(const ExperimentOptions &options);
 
-    // Whether every promise held.
+    // Returns whether every guarantee held.
     bool run();
 
 private:
     struct Fault
     {
-        // What is done, and what it is done to; one at a time is done to each.
+        // Kind of the fault and its subject; a subject has at most one fault at a time.
         std::string kind;
         std::string subject;
         std::function<void()> begin;
         std::function<void()> end;
     };
 
-    // Each revision has a route that tells it from the one before.
+    // Each revision has a route that no other revision has.
     std::string document(int revision) const;
-    Fault draw();
-    Fault ofNode(std::size_t node);
-    Fault ofTarget(std::size_t node);
-    Fault ofStore();
-    Fault ofConnections(const std::string &name, FaultProxy &proxy);
-    void storeMode(const std::string &mode) const;
-    void playFaults();
+    Fault drawFault();
+    Fault nodeFault(std::size_t node);
+    Fault targetFault(std::size_t node);
+    Fault storeFault();
+    Fault connectionFault(const std::string &name, FaultProxy &proxy);
+    void setStoreMode(const std::string &mode) const;
+    void injectFaults();
     void stopNode(std::size_t node);
     void checkCalls(const std::vector<CallRecord> &records);
     void checkRecovery();
     int statusOf(std::size_t node, const std::string &path) const;
-    void violated(std::string promise, std::string record);
+    void addViolation(std::string guarantee, std::string description);
     std::vector<CallRecord> call(std::size_t calls, const std::string &prefix) const;
 
     ExperimentOptions m_options;
@@ -91,11 +90,11 @@
     PlatformFleet m_fleet;
     std::unique_ptr<FaultProxy> m_storeProxy;
     std::vector<std::unique_ptr<FaultProxy>> m_targetProxies;
-    // What a fault is being done to, so that another leaves it.
-    std::set<std::string> m_busy;
+    // Subjects that have a fault at present.
+    std::set<std::string> m_faultySubjects;
     int m_revision = 1;
     Milliseconds m_length;
-    std::vector<std::string> m_played;
+    std::vector<std::string> m_injectedFaults;
     std::vector<Violation> m_violations;
 };
 
@@ -127,12 +126,12 @@
             {.name = fmt::format("r{}", revision), .service = "tablero"}});
 }
 
-void Soak::violated(std::string promise, std::string record)
+void Soak::addViolation(std::string guarantee, std::string description)
 {
-    m_violations.push_back({std::move(promise), std::move(record)});
+    m_violations.push_back({std::move(guarantee), std::move(description)});
 }
 
-void Soak::storeMode(const std::string &mode) const
+void Soak::setStoreMode(const std::string &mode) const
 {
     HttpRequest request(http::verb::post, mode == "compact" ? "/admin/compact" : "/admin/fault", 11);
     request.set(http::field::host, "store");
@@ -140,7 +139,8 @@
     (void)blockingExchange(m_fleet.store(), std::move(request), Milliseconds(500));
 }
 
-// A planned stop: the process has to end by itself, with nothing cut off.
+// Performs a planned stop: the process must exit by itself with code 0 within the limit, without
+// interrupting calls.
 void Soak::stopNode(std::size_t node)
 {
     auto &process = m_fleet.nodeProcess(node);
@@ -150,16 +150,16 @@
         std::this_thread::sleep_for(Milliseconds(20));
     }
     if (process.running()) {
-        violated("graceful-stop", fmt::format("node {} still runs {} ms after SIGTERM", node, StopLimit.count()));
+        addViolation("graceful-stop", fmt::format("node {} still runs {} ms after SIGTERM; killing it", node, StopLimit.count()));
         process.signal(SIGKILL);
     }
     if (process.wait() != 0) {
-        violated("graceful-stop", fmt::format("node {} ended with {}", node, process.wait()));
+        addViolation("graceful-stop", fmt::format("node {} ended with exit code {} instead of 0 (-1: killed by a signal)", node, process.wait()));
     }
     m_fleet.startNode(node);
 }
 
-Soak::Fault Soak::ofNode(std::size_t node)
+Soak::Fault Soak::nodeFault(std::size_t node)
 {
     const auto name = fmt::format("node-{}", node);
     switch (m_random() % 3) {
@@ -178,7 +178,7 @@
     }
 }
 
-Soak::Fault Soak::ofTarget(std::size_t node)
+Soak::Fault Soak::targetFault(std::size_t node)
 {
     const auto name = fmt::format("target-{}", node);
     switch (m_random() % 3) {
@@ -193,11 +193,11 @@
     case 1:
         return {"pause", name, [=, this] { m_fleet.targetProcess(node).signal(SIGSTOP); }, [=, this] { m_fleet.targetProcess(node).signal(SIGCONT); }};
     default:
-        return ofConnections(fmt::format("connections-of-{}", name), *m_targetProxies[node]);
+        return connectionFault(fmt::format("connections-of-{}", name), *m_targetProxies[node]);
     }
 }
 
-Soak::Fault Soak::ofConnections(const std::string &name, FaultProxy &proxy)
+Soak::Fault Soak::connectionFault(const std::string &name, FaultProxy &proxy)
 {
     using Mode = FaultProxy::Mode;
     static const std::vector<std::pair<const char *, Mode>> modes
@@ -208,39 +208,39 @@
     return {chosen.first, name, [&proxy, mode, delay] { proxy.setMode(mode, delay); }, [&proxy] { proxy.setMode(Mode::Pass); }};
 }
 
-Soak::Fault Soak::ofStore()
+Soak::Fault Soak::storeFault()
 {
     static const std::vector<std::string> modes = {"down", "slow", "lose-answers", "stall-watches", "compact"};
     switch (m_random() % 3) {
     case 0:
-        return ofConnections("connections-of-store", *m_storeProxy);
+        return connectionFault("connections-of-store", *m_storeProxy);
     case 1:
         return {"pause", "store", [this] { m_fleet.storeProcess().signal(SIGSTOP); }, [this] { m_fleet.storeProcess().signal(SIGCONT); }};
     default: {
         const auto &mode = modes[m_random() % modes.size()];
-        return {mode, "store", [mode, this] { storeMode(mode); }, [this] { storeMode("none"); }};
+        return {mode, "store", [mode, this] { setStoreMode(mode); }, [this] { setStoreMode("none"); }};
     }
     }
 }
 
-Soak::Fault Soak::draw()
+Soak::Fault Soak::drawFault()
 {
     const auto node = m_random() % Nodes;
     switch (m_random() % 4) {
     case 0:
-        return ofNode(node);
+        return nodeFault(node);
     case 1:
-        return ofTarget(node);
+        return targetFault(node);
     case 2:
-        return ofStore();
+        return storeFault();
     default:
-        // What the operator writes while the store misbehaves may be refused;
-        // the last document is written again at the end.
+        // The store may reject what the operator writes during a store fault; checkRecovery writes
+        // the last document again.
         return {"write", "configuration", [this] { (void)m_fleet.configure(document(++m_revision)); }, [] {}};
     }
 }
 
-void Soak::playFaults()
+void Soak::injectFaults()
 {
     struct Running
     {
@@ -257,18 +257,18 @@
                 continue;
             }
             fault->end();
-            m_busy.erase(fault->subject);
+            m_faultySubjects.erase(fault->subject);
             fault = running.erase(fault);
         }
     };
     while (Clock::now() - begin < m_length) {
         std::this_thread::sleep_for(Milliseconds(m_random() % (2000 / FaultsPerSecond)));
         endDue(Clock::now());
-        auto fault = draw();
-        if (!m_busy.insert(fault.subject).second) {
+        auto fault = drawFault();
+        if (!m_faultySubjects.insert(fault.subject).second) {
             continue;
         }
-        m_played.push_back(fmt::format("{} {}@{}", fault.kind, fault.subject, std::chrono::duration_cast<Milliseconds>(Clock::now() - begin).count()));
+        m_injectedFaults.push_back(fmt::format("{} {}@{}", fault.kind, fault.subject, std::chrono::duration_cast<Milliseconds>(Clock::now() - begin).count()));
         fault.begin();
         running.push_back({Clock::now() + Milliseconds(100 + m_random() % LongestFaultMs), fault.subject, fault.end});
     }
@@ -301,16 +301,16 @@
     for (const auto &record : records) {
         const auto count = runs.contains(record.id) ? runs.at(record.id) : 0;
         if (!record.idempotent && count > 1) {
-            violated("at-most-once", fmt::format("{} ran {} times", record.id, count));
+            addViolation("at-most-once", fmt::format("non-idempotent call {} ran {} times", record.id, count));
         }
         if (record.outcome == CallOutcome::NotRun && record.status != 0 && count > 0) {
-            violated("not-run", fmt::format("{} was refused with {} and ran", record.id, record.status));
+            addViolation("not-run", fmt::format("call {} was rejected with status {}, but ran", record.id, record.status));
         }
         if (record.outcome == CallOutcome::Crossed) {
-            violated("own-answer", record.id + " got another answer than its own");
+            addViolation("own-answer", record.id + " got the response to another call");
         }
         if (record.status == 404) {
-            violated("known-route", record.id + " got 404 for a route of every revision");
+            addViolation("known-route", record.id + " got status 404 for a route that every revision has");
         }
     }
 }
@@ -320,12 +320,12 @@
     HttpRequest request(http::verb::get, path, 11);
     request.set(http::field::host, Host);
     request.set(Platform::callDialect().requestId, fmt::format("check-{}-{}", node, Clock::now().time_since_epoch().count()));
-    const auto answer = blockingExchange(m_fleet.ingress(node), std::move(request), Milliseconds(2000));
-    return answer ? static_cast<int>(answer->result_int()) : 0;
+    const auto response = blockingExchange(m_fleet.ingress(node), std::move(request), Milliseconds(2000));
+    return response ? static_cast<int>(response->result_int()) : 0;
 }
 
-// With all faults over, every node is ready, serves the last configuration, and
-// calls are answered again.
+// After all faults have ended, every node must become ready and serve the last configuration, and
+// all calls must succeed again.
 void Soak::checkRecovery()
 {
     const auto until = Clock::now() + RecoveryLimit;
@@ -334,7 +334,7 @@
         std::this_thread::sleep_for(Milliseconds(100));
     }
     if (!m_fleet.waitUntilReady(RecoveryLimit)) {
-        violated("recovery", "not every node is ready again");
+        addViolation("recovery", "not every node became ready again after the faults");
         return;
     }
     const auto last = fmt::format("/r{}/1", m_revision);
@@ -344,7 +344,7 @@
             status = statusOf(node, last);
         }
         if (status == 404 || status == 0) {
-            violated("in-force", fmt::format("node {} answers {} for the last revision's route", node, status));
+            addViolation("in-force", fmt::format("node {} returns status {} for the route of the last revision", node, status));
         }
     }
     bool served = false;
@@ -353,7 +353,7 @@
         served = std::all_of(records.begin(), records.end(), [](const auto &record) { return record.outcome == CallOutcome::Answered; });
     }
     if (!served) {
-        violated("recovery", "not all of 100 calls are answered after the faults");
+        addViolation("recovery", "no round of 100 calls was fully answered after the faults");
     }
 }
 
@@ -365,7 +365,7 @@
     }
     std::vector<CallRecord> records;
     std::thread callers([&] { records = call(static_cast<std::size_t>(CallsPerSecond * static_cast<double>(m_length.count()) / 1000), "soak"); });
-    playFaults();
+    injectFaults();
     callers.join();
     checkRecovery();
     checkCalls(records);
@@ -374,12 +374,12 @@
         {"commit", m_options.commit},
         {"seed", m_options.seed},
         {"nodes", Nodes},
-        {"faults", m_played},
+        {"faults", m_injectedFaults},
         {"calls", records.size()},
         {"answered", answered},
         {"violations", nlohmann::json::array()}};
     for (const auto &violation : m_violations) {
-        result["violations"].push_back({{"promise", violation.promise}, {"record", violation.record}});
+        result["violations"].push_back({{"promise", violation.guarantee}, {"record", violation.description}});
     }
     fmt::print("{}\n", result.dump());
     return m_violations.empty();
--- a/bench/statuspoller.cpp
+++ b/bench/statuspoller.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Milliseconds AnswerTimeout{1000};
+constexpr Milliseconds ResponseTimeout{1000};
 
 }
 
@@ -32,11 +32,11 @@
     while (!stopping) {
         HttpRequest request(http::verb::get, "/status", 11);
         request.set(http::field::host, toString(endpoint));
-        const auto asked = Clock::now();
-        const auto answer = co_await client.exchange(endpoint, std::move(request), asked + AnswerTimeout);
-        const auto status = answer ? nlohmann::json::parse(answer->body(), nullptr, false) : nlohmann::json();
+        const auto requestedAt = Clock::now();
+        const auto response = co_await client.exchange(endpoint, std::move(request), requestedAt + ResponseTimeout);
+        const auto status = response ? nlohmann::json::parse(response->body(), nullptr, false) : nlohmann::json();
         if (status.is_object() && status.contains("revision")) {
-            samples.push_back({node, asked, Clock::now(), Revision(status.value("revision", std::uint64_t(0))), ContentHash(status.value("digest", ""))});
+            samples.push_back({node, requestedAt, Clock::now(), Revision(status.value("revision", std::uint64_t(0))), ContentHash(status.value("digest", ""))});
         }
         ErrorCode ignored;
         timer.expires_after(Step);
--- a/bench/statuspoller.h
+++ b/bench/statuspoller.h
@@ -7,18 +7,18 @@
 
 namespace Galenahill {
 
-// Asks every node for its status again and again on a thread of its own, as
-// somebody outside the system would, and keeps the answers.
+// Polls the status of every node on its own thread, as an external client, and records the
+// responses.
 class StatusPoller
 {
 public:
-    // Time between two questions to one node.
+    // Time between a node's response and the next request to it.
     static constexpr Milliseconds Step{100};
 
     explicit StatusPoller(const Fleet &fleet);
     ~StatusPoller();
 
-    // Ends the polling and gives the answers in the order they came.
+    // Stops polling and returns the responses in the order in which they arrived.
     std::vector<StatusSample> stop();
 
 private:
--- a/standins/announcer.cpp
+++ b/standins/announcer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Milliseconds AnswerTime{1000};
+constexpr Milliseconds ResponseTimeout{1000};
 
 std::int64_t unixMilliseconds()
 {
@@ -57,8 +57,8 @@
 asio::awaitable<void> Announcer::run()
 {
     for (;;) {
-        // One that isn't answered is followed by the next anyway.
-        (void)co_await m_client.exchange(m_options.registration, request(), Clock::now() + AnswerTime);
+        // The result is ignored: the next announcement follows anyway.
+        (void)co_await m_client.exchange(m_options.registration, request(), Clock::now() + ResponseTimeout);
         const bool draining = m_options.draining();
         const auto next = Clock::now() + m_options.interval;
         while (Clock::now() < next && m_options.draining() == draining) {
--- a/standins/announcer.h
+++ b/standins/announcer.h
@@ -8,17 +8,17 @@
 
 namespace Galenahill {
 
-// Announces a target stand-in to the node beside it, as the platform's targets do:
-// a request every so often, and one more when it begins to drain.
+// Announces a target stand-in to the node on its VM, as the platform's targets do: with a request
+// at regular intervals, and another one as soon as it starts or stops draining.
 class Announcer
 {
 public:
     struct Options
     {
-        // Where the node takes announcements.
+        // Address of the node's registration endpoint.
         Endpoint registration;
-        // File with the request's first line and its body, with names in braces
-        // where the target's own values go.
+        // File with the request line and the body of an announcement, with placeholders in braces for
+        // the values of the target.
         std::string sampleFile;
         std::string id;
         std::string service;
@@ -29,10 +29,10 @@
         std::function<bool()> draining;
     };
 
-    // Throws if the sample can't be read.
+    // Throws if the sample file can't be read.
     Announcer(asio::io_context &context, Options options);
 
-    // Announces until the context stops.
+    // Starts sending announcements, until the context stops.
     void start();
 
 private:
--- a/standins/platformmodel.cpp
+++ b/standins/platformmodel.cpp
@@ -15,7 +15,7 @@
 
 PlatformModel::Object PlatformModel::put(const Key &key, std::string content)
 {
-    m_contents[key].push_back(content);
+    m_allContents[key].push_back(content);
     const Object object{key.first, key.second, std::move(content), ++m_version};
     m_objects[key] = object;
     m_changes.push_back(object);
@@ -32,17 +32,17 @@
 
 std::optional<PlatformModel::Object> PlatformModel::replace(const std::string &kind, const std::string &name, std::string content, std::uint64_t expected)
 {
-    const auto present = read(kind, name);
-    if (!present || (expected != 0 && present->version != expected)) {
+    const auto current = read(kind, name);
+    if (!current || (expected != 0 && current->version != expected)) {
         return std::nullopt;
     }
-    return present->content == content ? present : put({kind, name}, std::move(content));
+    return current->content == content ? current : put({kind, name}, std::move(content));
 }
 
 bool PlatformModel::remove(const std::string &kind, const std::string &name, std::uint64_t expected)
 {
-    const auto present = read(kind, name);
-    if (!present || (expected != 0 && present->version != expected)) {
+    const auto current = read(kind, name);
+    if (!current || (expected != 0 && current->version != expected)) {
         return false;
     }
     m_objects.erase({kind, name});
@@ -61,7 +61,7 @@
 
 std::optional<std::vector<PlatformModel::Object>> PlatformModel::changesAfter(const std::string &kind, std::uint64_t version) const
 {
-    if (version < m_knownFrom) {
+    if (version < m_historyStart) {
         return std::nullopt;
     }
     std::vector<Object> changes;
@@ -76,13 +76,13 @@
 void PlatformModel::forgetHistory()
 {
     m_changes.clear();
-    m_knownFrom = m_version;
+    m_historyStart = m_version;
 }
 
 std::vector<std::string> PlatformModel::contentsOf(const std::string &kind, const std::string &name) const
 {
-    const auto found = m_contents.find({kind, name});
-    return found == m_contents.end() ? std::vector<std::string>() : found->second;
+    const auto found = m_allContents.find({kind, name});
+    return found == m_allContents.end() ? std::vector<std::string>() : found->second;
 }
 
 void PlatformModel::backUp()
--- a/standins/platformmodel.h
+++ b/standins/platformmodel.h
@@ -10,8 +10,8 @@
 
 namespace Galenahill {
 
-// Objects of the platform stand-in by kind and name, and the changes to them, under
-// one counter that never repeats a value.
+// The objects of the platform stand-in by kind and name, and the history of their changes. All
+// changes are versioned by one counter that never repeats a value.
 class PlatformModel
 {
 public:
@@ -25,34 +25,35 @@
         bool deleted = false;
     };
 
-    // The counter's value at the last change.
+    // Version of the last change.
     std::uint64_t version() const;
 
     std::optional<Object> read(const std::string &kind, const std::string &name) const;
 
-    // Creates the object; nothing if there is one.
+    // Creates the object; returns nothing if it exists.
     std::optional<Object> create(const std::string &kind, const std::string &name, std::string content);
 
-    // Replaces the content if the object has that version; zero: whatever it has.
-    // The same content again changes nothing. Nothing if the version differs, or
-    // there is no object.
+    // Replaces the content if the object has the expected version; zero accepts any version. Writing
+    // the same content again changes nothing. Returns nothing if the version differs or the object
+    // doesn't exist.
     std::optional<Object> replace(const std::string &kind, const std::string &name, std::string content, std::uint64_t expected);
     bool remove(const std::string &kind, const std::string &name, std::uint64_t expected);
 
-    // The kind's objects behind that name, in the order of their names.
+    // Objects of the kind whose names sort after the given one, ordered by name.
     std::vector<Object> list(const std::string &kind, const std::string &after) const;
 
-    // The kind's changes after that version; nothing if they aren't known any more.
+    // Changes to objects of the kind after the given version; nothing if the history no longer goes
+    // back that far.
     std::optional<std::vector<Object>> changesAfter(const std::string &kind, std::uint64_t version) const;
 
-    // Drops all changes so far.
+    // Drops the history of all changes so far.
     void forgetHistory();
 
-    // Every content that the object had, whatever was forgotten.
+    // All contents that the object ever had, including those dropped from the history.
     std::vector<std::string> contentsOf(const std::string &kind, const std::string &name) const;
 
-    // Keeps a copy of all objects, and puts the copy back as an operator's
-    // restore would: contents are older, versions go on growing.
+    // Keeps a copy of all objects, and restores it as an operator's restore would: the contents are
+    // older, but versions continue to grow.
     void backUp();
     void restore();
 
@@ -65,9 +66,9 @@
     std::map<Key, Object> m_backup;
     // As on the platform, the counter starts above zero.
     std::uint64_t m_version = 1;
-    std::uint64_t m_knownFrom = 1;
+    std::uint64_t m_historyStart = 1;
     std::vector<Object> m_changes;
-    std::map<Key, std::vector<std::string>> m_contents;
+    std::map<Key, std::vector<std::string>> m_allContents;
 };
 
 }
--- a/standins/platformstandin.cpp
+++ b/standins/platformstandin.cpp
@@ -1,11 +1,11 @@
-// Stand-in for the platform's store: objects by kind and name over HTTP/1.1, with
-// conditional writes, lists in pages, watches of a kind, and a history that can be
-// lost. For experiments:
-//   GET    /admin/counters         calls by kind
-//   GET    /admin/head-history     every head that the INI nodes' repository had, as a JSON array
+// Stand-in for the platform's store: objects by kind and name over HTTP/1.1, with conditional
+// writes, paged lists, watches on a kind, and a history that can be compacted. For experiments:
+//   GET    /admin/counters         number of requests by type
+//   GET    /admin/head-history     every head that the repository of galenahilld nodes had, as a JSON array
 //   POST   /admin/fault            {"mode": "none|down|slow|lose-answers|stall-watches", "delay_ms": N}
-//   POST   /admin/compact          forgets the history of changes
-//   POST   /admin/backup, /admin/restore
+//   POST   /admin/compact          drops the history of changes
+//   POST   /admin/backup           keeps a copy of all objects
+//   POST   /admin/restore          restores that copy
 
 #include "adapters/http/httpserver.h"
 #include "platform/storenames.h"
@@ -26,7 +26,7 @@
 // Objects in one page of a list, as on the platform.
 constexpr std::size_t PageObjects = 500;
 
-// Where the INI nodes keep the head of their repository.
+// Object in which galenahilld nodes keep the head of their repository.
 constexpr const char *HeadKind = "galenahill-config";
 constexpr const char *HeadName = "head";
 
@@ -44,7 +44,7 @@
     asio::awaitable<HttpResponse> handle(HttpRequest request);
 
 private:
-    asio::awaitable<HttpResponse> objectCall(HttpRequest request);
+    asio::awaitable<HttpResponse> handleObjectRequest(HttpRequest request);
     asio::awaitable<HttpResponse> watch(std::string kind, std::uint64_t after, Milliseconds limit);
     HttpResponse admin(const HttpRequest &request);
     HttpResponse list(const std::string &kind, const std::string &after);
@@ -53,7 +53,7 @@
 
     asio::io_context &m_context;
     PlatformModel m_model;
-    std::map<std::string, std::uint64_t> m_calls;
+    std::map<std::string, std::uint64_t> m_requestCounts;
     std::string m_mode = "none";
     Milliseconds m_delay{0};
 };
@@ -99,43 +99,43 @@
         co_return admin(request);
     }
     if (m_mode == "down") {
-        ++m_calls["refused"];
-        co_return makeErrorResponse(http::status::service_unavailable, "down", "the stand-in plays an outage");
+        ++m_requestCounts["refused"];
+        co_return makeErrorResponse(http::status::service_unavailable, "down", "the store stand-in simulates an outage");
     }
     if (m_mode == "slow") {
         co_await sleep(m_delay);
     }
     const bool writes = request.method() != http::verb::get;
     const bool lost = m_mode == "lose-answers" && writes;
-    auto response = co_await objectCall(std::move(request));
+    auto response = co_await handleObjectRequest(std::move(request));
     if (lost) {
-        ++m_calls["lost_answers"];
-        response = makeErrorResponse(http::status::bad_gateway, "lost", "the stand-in plays a lost answer");
+        ++m_requestCounts["lost_answers"];
+        response = makeErrorResponse(http::status::bad_gateway, "lost", "the store stand-in simulates a lost response");
     }
     co_return response;
 }
 
-asio::awaitable<HttpResponse> StoreStandIn::objectCall(HttpRequest request)
+asio::awaitable<HttpResponse> StoreStandIn::handleObjectRequest(HttpRequest request)
 {
     const std::string target(request.target());
     const std::string path = target.substr(0, target.find('?'));
     if (path.rfind(Names::Objects, 0) != 0) {
         co_return makeErrorResponse(http::status::not_found, "not-found", "no such resource");
     }
-    const auto place = path.substr(std::string_view(Names::Objects).size());
-    const auto slash = place.find('/');
-    const auto kind = place.substr(0, slash);
-    const auto name = slash == std::string::npos ? std::string() : place.substr(slash + 1);
+    const auto objectPath = path.substr(std::string_view(Names::Objects).size());
+    const auto slash = objectPath.find('/');
+    const auto kind = objectPath.substr(0, slash);
+    const auto name = slash == std::string::npos ? std::string() : objectPath.substr(slash + 1);
     if (request.method() != http::verb::get) {
-        ++m_calls["write"];
+        ++m_requestCounts["write"];
         co_return change(request, kind, name);
     }
     const auto after = parameter(target, Names::Watch);
     if (!after.empty()) {
-        ++m_calls["watch"];
+        ++m_requestCounts["watch"];
         co_return co_await watch(kind, number(after), Milliseconds(number(parameter(target, Names::WaitMs))));
     }
-    ++m_calls[name.empty() ? "list" : "read"];
+    ++m_requestCounts[name.empty() ? "list" : "read"];
     if (name.empty()) {
         co_return list(kind, parameter(target, Names::After));
     }
@@ -155,27 +155,27 @@
 
 HttpResponse StoreStandIn::change(const HttpRequest &request, const std::string &kind, const std::string &name)
 {
-    const auto refused = [&](const std::string &of) {
-        const auto present = m_model.read(kind, of);
-        return present ? jsonResponse(objectJson(*present), http::status::conflict) : makeErrorResponse(http::status::not_found, "not-found", of);
+    const auto writeFailure = [&](const std::string &of) {
+        const auto current = m_model.read(kind, of);
+        return current ? jsonResponse(objectJson(*current), http::status::conflict) : makeErrorResponse(http::status::not_found, "not-found", of);
     };
     if (request.method() == http::verb::delete_) {
         const auto expected = number(parameter(std::string(request.target()), Names::ObjectRevision));
-        return m_model.remove(kind, name, expected) ? jsonResponse(Json::object()) : refused(name);
+        return m_model.remove(kind, name, expected) ? jsonResponse(Json::object()) : writeFailure(name);
     }
     if (request.body().size() > MaxValueBytes) {
         return makeErrorResponse(http::status::payload_too_large, "too-large", name);
     }
     const auto json = Json::parse(request.body(), nullptr, false);
     if (!json.is_object() || !json.contains(Names::Metadata) || !json.contains(Names::Content)) {
-        return makeErrorResponse(http::status::bad_request, "invalid", "an object has its metadata and what its writer put in");
+        return makeErrorResponse(http::status::bad_request, "invalid", "an object must have metadata and content");
     }
     const auto &metadata = json.at(Names::Metadata);
     const auto content = json.at(Names::Content).dump();
-    const auto own = metadata.value(Names::Name, name);
-    const auto object = request.method() == http::verb::post ? m_model.create(kind, own, content)
+    const auto objectName = metadata.value(Names::Name, name);
+    const auto object = request.method() == http::verb::post ? m_model.create(kind, objectName, content)
                                                              : m_model.replace(kind, name, content, metadata.value(Names::ObjectRevision, std::uint64_t(0)));
-    return object ? jsonResponse(objectJson(*object)) : refused(own);
+    return object ? jsonResponse(objectJson(*object)) : writeFailure(objectName);
 }
 
 asio::awaitable<HttpResponse> StoreStandIn::watch(std::string kind, std::uint64_t after, Milliseconds limit)
@@ -185,7 +185,7 @@
     while (events.empty() && (Clock::now() < until || m_mode == "stall-watches")) {
         const auto changes = m_model.changesAfter(kind, after);
         if (!changes) {
-            co_return makeErrorResponse(http::status::gone, "gone", "that history is forgotten");
+            co_return makeErrorResponse(http::status::gone, "gone", "the history no longer goes back to that version");
         }
         for (const auto &change : m_mode == "stall-watches" ? std::vector<PlatformModel::Object>() : *changes) {
             events.push_back({{Names::Object, objectJson(change)}, {Names::Deleted, change.deleted}});
@@ -197,7 +197,7 @@
     co_return jsonResponse({{Names::Events, events}, {Names::StoreRevision, m_model.version()}});
 }
 
-// The texts that the repository's head had.
+// Returns every text that the repository's head had.
 Json headHistory(const PlatformModel &model)
 {
     Json texts = Json::array();
@@ -211,7 +211,7 @@
 {
     const auto target = request.target();
     if (target == "/admin/counters") {
-        return makeResponse(http::status::ok, "application/json", nlohmann::json(m_calls).dump());
+        return makeResponse(http::status::ok, "application/json", nlohmann::json(m_requestCounts).dump());
     }
     if (target == "/admin/head-history") {
         return makeResponse(http::status::ok, "application/json", headHistory(m_model).dump());
@@ -249,13 +249,13 @@
     char *address = nullptr;
     int port = 7000;
     const poptOption options[] = {
-        {"address", 'a', POPT_ARG_STRING, &address, 0, "IP number to listen on", "IP"},
+        {"address", 'a', POPT_ARG_STRING, &address, 0, "IP address to listen on", "IP"},
         {"port", 'p', POPT_ARG_INT, &port, 0, "Port to listen on", "PORT"},
         POPT_AUTOHELP POPT_TABLEEND,
     };
     poptContext context = poptGetContext("platformstandin", argc, argv, options, 0);
     if (poptGetNextOpt(context) < -1) {
-        fmt::print(stderr, "platformstandin: unknown option; see --help\n");
+        fmt::print(stderr, "platformstandin: invalid option; see --help\n");
         return 2;
     }
     return Galenahill::run(address == nullptr ? "127.0.0.1" : address, static_cast<std::uint16_t>(port));
--- a/standins/samplefile.h
+++ b/standins/samplefile.h
@@ -9,21 +9,21 @@
 
 namespace Galenahill {
 
-// The lines of a file that shows what is sent, with names in braces where values
-// go. Throws if it hasn't so many.
+// Reads the first lines of a sample file, a message template with placeholders in braces. Throws if
+// the file has fewer lines.
 inline std::vector<std::string> readSample(const std::string &file, std::size_t lines)
 {
     std::ifstream stream(file);
     std::vector<std::string> result(lines);
     for (auto &line : result) {
         if (!std::getline(stream, line)) {
-            throw std::runtime_error(file + ": has too few lines");
+            throw std::runtime_error(file + ": the sample file has too few lines");
         }
     }
     return result;
 }
 
-// A line with the values in.
+// Returns the text with the placeholders replaced by the values.
 inline std::string filled(std::string text, const std::vector<std::pair<std::string, std::string>> &values)
 {
     for (const auto &[name, value] : values) {
--- a/standins/serveuntilstopped.h
+++ b/standins/serveuntilstopped.h
@@ -4,8 +4,8 @@
 
 namespace Galenahill {
 
-// Runs one HTTP server until SIGTERM or SIGINT and gives the process's exit
-// code: 1 with a line on standard error if the address is taken.
+// Runs one HTTP server until SIGTERM or SIGINT. Returns the exit code of the process: 0, or 1 with
+// an error message on standard error if it can't listen on the address.
 int serveUntilStopped(asio::io_context &context, HttpServer::Options options);
 
 }
--- a/standins/targetstandin.cpp
+++ b/standins/targetstandin.cpp
@@ -1,21 +1,20 @@
-// Stand-in for a target: an HTTP server with slots, cold start, drain, health
-// and load endpoints, and a ledger of what it ran. Any path but these is a
-// call, which takes the service time and answers with the request id that it
-// carried:
+// Stand-in for a target: an HTTP server with slots, cold start, drain, and a ledger of the calls
+// that it ran. It has these endpoints:
 //   GET  /health   200 ready, or 503 starting or draining
-//   GET  /load     slots taken, as JSON
-//   GET  /ledger   ids of the calls that ran, one line each, in order
+//   GET  /load     slots in use, as JSON
+//   GET  /ledger   ids of the calls that ran, one per line, in order
 //   POST /admin    {"drain": B, "service_us": N, "slots": N, "cold_ms": N, "freeze": B, "misreport": B}
-// With --log-runs each entry also goes to standard error as "ran ID MICROSECONDS"
-// by the steady clock, so that the ledger outlives the process.
-// A call beyond the slots counts as an overrun. It waits in the backlog, if
-// there is one, and runs even if its caller has gone; without room it is
-// refused with 503. "cold_ms" makes it a cold one for that time, which refuses
-// all calls. "misreport" makes health and load say ready and idle.
-// With --announce it announces itself to the node beside it and uses the fields
-// that the platform's callers and targets use: it echoes the request's id, proves
-// its answers, refuses what was meant for another target, and says when it didn't
-// run a call.
+// A request for any other path is a call. It takes the service time, and the response contains the
+// request id.
+// With --log-runs, each ledger entry is also written to standard error as "ran ID MICROSECONDS",
+// with the time of the steady clock, so that the ledger outlives the process.
+// A call that finds no free slot counts as an overrun. It waits in the backlog and then runs, even
+// if its caller has disconnected; if the backlog is full, the target rejects the call with 503.
+// "cold_ms" makes the target reject all calls for that time, as during a cold start. "freeze" holds
+// back all responses until it is reset. "misreport" makes /health and /load report ready and idle.
+// With --announce, the target announces itself to the node on its VM and uses the header fields of
+// the platform: it returns the request id, marks its responses as its own, rejects calls that are
+// meant for another target, and marks responses to calls that it did not run.
 
 #include "adapters/http/httpserver.h"
 #include "announcer.h"
@@ -38,13 +37,13 @@
     std::uint32_t slots = 6;
     std::chrono::microseconds serviceTime{2000};
     Milliseconds coldStart{0};
-    // Calls that wait for a slot at the most.
+    // Maximum number of calls that wait for a slot.
     std::uint32_t backlog = 0;
     std::uint32_t connections = 4096;
     bool logRuns = false;
-    // Where the target announces itself; port zero: nowhere.
+    // Registration endpoint of the node; port zero if the target does not announce itself.
     Endpoint registration;
-    // Address that it announces.
+    // Address that the target announces.
     Endpoint announcedAs;
     std::string heartbeatSample;
     std::string id;
@@ -57,11 +56,11 @@
     }
 };
 
-// Calls that start later than this after a drain was ordered are late.
-constexpr Milliseconds LeaveTime{1000};
+// Calls that start later than this after the start of a drain are counted as late.
+constexpr Milliseconds DrainGracePeriod{1000};
 
-// Step in which calls of the backlog look for a free slot.
-constexpr std::chrono::microseconds BacklogStep{500};
+// Interval at which waiting calls check for a free slot.
+constexpr std::chrono::microseconds BacklogCheckInterval{500};
 
 class Target
 {
@@ -72,7 +71,7 @@
         , m_readyAt(Clock::now() + m_options.coldStart)
     {
         if (m_options.announces()) {
-            m_dialect = Platform::callDialect();
+            m_headerNames = Platform::callDialect();
         }
     }
 
@@ -93,14 +92,14 @@
     HttpResponse health() const;
     HttpResponse load() const;
     HttpResponse admin(const HttpRequest &request);
-    asio::awaitable<bool> takeSlot();
-    std::string idOf(const HttpRequest &request) const;
-    HttpResponse notRun(http::status status, const std::string &kind, const std::string &message) const;
+    asio::awaitable<bool> acquireSlot();
+    std::string requestIdOf(const HttpRequest &request) const;
+    HttpResponse notRunResponse(http::status status, const std::string &kind, const std::string &message) const;
 
     asio::io_context &m_context;
     TargetOptions m_options;
-    // Empty names: the fields of the INI nodes.
-    CallDialect m_dialect;
+    // Left at the defaults with galenahilld nodes, whose request id field is Request-Id.
+    CallDialect m_headerNames;
     TimePoint m_readyAt;
     std::string m_ledger;
     std::uint32_t m_running = 0;
@@ -109,7 +108,7 @@
     std::uint64_t m_lateCalls = 0;
     TimePoint m_drainedAt;
     bool m_draining = false;
-    bool m_frozen = false;
+    bool m_responsesHeld = false;
     bool m_misreports = false;
 };
 
@@ -137,7 +136,7 @@
 {
     const auto json = nlohmann::json::parse(request.body(), nullptr, false);
     if (!json.is_object()) {
-        return makeErrorResponse(http::status::bad_request, "invalid", "give a JSON object");
+        return makeErrorResponse(http::status::bad_request, "invalid", "the request body must be a JSON object");
     }
     const bool draining = json.value("drain", m_draining);
     m_drainedAt = draining && !m_draining ? Clock::now() : m_drainedAt;
@@ -146,7 +145,7 @@
     if (json.contains("cold_ms")) {
         m_readyAt = Clock::now() + Milliseconds(json.value("cold_ms", 0));
     }
-    m_frozen = json.value("freeze", m_frozen);
+    m_responsesHeld = json.value("freeze", m_responsesHeld);
     m_misreports = json.value("misreport", m_misreports);
     m_options.serviceTime = std::chrono::microseconds(json.value("service_us", m_options.serviceTime.count()));
     return makeResponse(http::status::ok, "text/plain", "");
@@ -157,8 +156,8 @@
     const auto target = request.target();
     if (target == "/health") {
         auto response = health();
-        if (!m_dialect.targetId.empty()) {
-            response.set(m_dialect.targetId, m_options.id);
+        if (!m_headerNames.targetId.empty()) {
+            response.set(m_headerNames.targetId, m_options.id);
         }
         co_return response;
     }
@@ -174,7 +173,7 @@
     co_return co_await runCall(std::move(request));
 }
 
-asio::awaitable<bool> Target::takeSlot()
+asio::awaitable<bool> Target::acquireSlot()
 {
     if (m_running >= m_options.slots) {
         ++m_overruns;
@@ -185,7 +184,7 @@
         asio::steady_timer timer(m_context);
         while (m_running >= m_options.slots) {
             ErrorCode ignored;
-            timer.expires_after(BacklogStep);
+            timer.expires_after(BacklogCheckInterval);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         --m_waiting;
@@ -194,36 +193,36 @@
     co_return true;
 }
 
-std::string Target::idOf(const HttpRequest &request) const
+std::string Target::requestIdOf(const HttpRequest &request) const
 {
-    return std::string(m_dialect.requestId.empty() ? request["Request-Id"] : request[m_dialect.requestId]);
+    return std::string(m_headerNames.requestId.empty() ? request["Request-Id"] : request[m_headerNames.requestId]);
 }
 
-HttpResponse Target::notRun(http::status status, const std::string &kind, const std::string &message) const
+HttpResponse Target::notRunResponse(http::status status, const std::string &kind, const std::string &message) const
 {
     auto response = makeErrorResponse(status, kind, message);
-    if (!m_dialect.notExecuted.empty()) {
-        response.set(m_dialect.notExecuted, "1");
+    if (!m_headerNames.notExecuted.empty()) {
+        response.set(m_headerNames.notExecuted, "1");
     }
     return response;
 }
 
 asio::awaitable<HttpResponse> Target::runCall(HttpRequest request)
 {
-    const auto expected = m_dialect.expectedTarget.empty() ? boost::beast::string_view() : request[m_dialect.expectedTarget];
+    const auto expected = m_headerNames.expectedTarget.empty() ? boost::beast::string_view() : request[m_headerNames.expectedTarget];
     if (!expected.empty() && expected != m_options.id) {
-        co_return notRun(http::status::misdirected_request, "misdirected", "another target is at this address now");
+        co_return notRunResponse(http::status::misdirected_request, "misdirected", "the call is meant for another target than the one at this address");
     }
     if (Clock::now() < m_readyAt) {
-        co_return notRun(http::status::service_unavailable, "starting", "the target is starting");
+        co_return notRunResponse(http::status::service_unavailable, "starting", "the target is starting");
     }
-    if (!co_await takeSlot()) {
-        co_return notRun(http::status::service_unavailable, "overrun", "all slots are taken");
+    if (!co_await acquireSlot()) {
+        co_return notRunResponse(http::status::service_unavailable, "overrun", "all slots are in use and the backlog is full");
     }
-    if (m_draining && Clock::now() > m_drainedAt + LeaveTime) {
+    if (m_draining && Clock::now() > m_drainedAt + DrainGracePeriod) {
         ++m_lateCalls;
     }
-    const auto id = idOf(request);
+    const auto id = requestIdOf(request);
     m_ledger += id + "\n";
     if (m_options.logRuns) {
         fmt::print(stderr, "ran {} {}\n", id, std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count());
@@ -232,15 +231,15 @@
     ErrorCode ignored;
     timer.expires_after(m_options.serviceTime);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    while (m_frozen) {
+    while (m_responsesHeld) {
         timer.expires_after(Milliseconds(20));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     --m_running;
     auto response = makeResponse(http::status::ok, "text/plain", "done " + id);
-    response.set(m_dialect.requestId.empty() ? "Request-Id" : m_dialect.requestId, id);
-    if (!m_dialect.answerProof.empty()) {
-        response.set(m_dialect.answerProof, m_options.id);
+    response.set(m_headerNames.requestId.empty() ? "Request-Id" : m_headerNames.requestId, id);
+    if (!m_headerNames.answerProof.empty()) {
+        response.set(m_headerNames.answerProof, m_options.id);
     }
     co_return response;
 }
@@ -289,25 +288,25 @@
     char *service = nullptr;
     char *dataCentre = nullptr;
     const poptOption table[] = {
-        {"address", 'a', POPT_ARG_STRING, &address, 0, "IP number to listen on", "IP"},
+        {"address", 'a', POPT_ARG_STRING, &address, 0, "IP address to listen on", "IP"},
         {"port", 'p', POPT_ARG_INT, &port, 0, "Port to listen on", "PORT"},
-        {"slots", 's', POPT_ARG_INT, &slots, 0, "Calls run at a time", "N"},
-        {"service-us", 't', POPT_ARG_INT, &serviceMicroseconds, 0, "Time that a call takes", "MICROSECONDS"},
-        {"cold-start-ms", 'c', POPT_ARG_INT, &coldStart, 0, "Time from the start to ready", "MILLISECONDS"},
-        {"backlog", 0, POPT_ARG_INT, &backlog, 0, "Calls that wait for a slot at the most", "N"},
-        {"connections", 0, POPT_ARG_INT, &connections, 0, "Connections accepted at a time", "N"},
-        {"announce", 0, POPT_ARG_STRING, &announce, 0, "Where to announce itself", "IP:PORT"},
-        {"announce-as", 0, POPT_ARG_STRING, &announceAs, 0, "Address that it announces; its own by default", "IP:PORT"},
-        {"heartbeat", 0, POPT_ARG_STRING, &sample, 0, "File that shows an announcement", "FILE"},
-        {"id", 0, POPT_ARG_STRING, &id, 0, "Id that it announces", "ID"},
-        {"service", 0, POPT_ARG_STRING, &service, 0, "Service that it announces", "NAME"},
-        {"data-centre", 0, POPT_ARG_STRING, &dataCentre, 0, "Data centre that it announces", "NAME"},
-        {"log-runs", 0, POPT_ARG_NONE, &logRuns, 0, "Write each execution to standard error", nullptr},
+        {"slots", 's', POPT_ARG_INT, &slots, 0, "Number of calls that run at once", "N"},
+        {"service-us", 't', POPT_ARG_INT, &serviceMicroseconds, 0, "Service time of a call", "MICROSECONDS"},
+        {"cold-start-ms", 'c', POPT_ARG_INT, &coldStart, 0, "Time from the start until the target is ready", "MILLISECONDS"},
+        {"backlog", 0, POPT_ARG_INT, &backlog, 0, "Maximum number of calls that wait for a slot", "N"},
+        {"connections", 0, POPT_ARG_INT, &connections, 0, "Maximum number of open connections", "N"},
+        {"announce", 0, POPT_ARG_STRING, &announce, 0, "Registration endpoint of the node to which the target announces itself", "IP:PORT"},
+        {"announce-as", 0, POPT_ARG_STRING, &announceAs, 0, "Address to announce; by default the one that it listens on", "IP:PORT"},
+        {"heartbeat", 0, POPT_ARG_STRING, &sample, 0, "Sample file of an announcement", "FILE"},
+        {"id", 0, POPT_ARG_STRING, &id, 0, "Target id to announce", "ID"},
+        {"service", 0, POPT_ARG_STRING, &service, 0, "Service to announce", "NAME"},
+        {"data-centre", 0, POPT_ARG_STRING, &dataCentre, 0, "Data centre to announce", "NAME"},
+        {"log-runs", 0, POPT_ARG_NONE, &logRuns, 0, "Write each call that runs to standard error", nullptr},
         POPT_AUTOHELP POPT_TABLEEND,
     };
     poptContext context = poptGetContext("targetstandin", argc, argv, table, 0);
     if (poptGetNextOpt(context) < -1) {
-        fmt::print(stderr, "targetstandin: unknown option; see --help\n");
+        fmt::print(stderr, "targetstandin: invalid option; see --help\n");
         return 2;
     }
     Galenahill::TargetOptions options;
