--- a/autotests/processes/callfaultstest.cpp
+++ b/autotests/processes/callfaultstest.cpp
@@ -121,8 +121,8 @@
     {
         const auto result = reconcile(fleet, records);
         BOOST_TEST(result.runTwice == 0U);
-        BOOST_TEST(result.crossed == 0U);
-        BOOST_TEST(result.lost == 0U);
+        BOOST_TEST(result.mismatched == 0U);
+        BOOST_TEST(result.answeredButNotRun == 0U);
         BOOST_TEST(result.refusedButRun == 0U);
         return result;
     }
--- a/autotests/processes/explainfailuretest.cpp
+++ b/autotests/processes/explainfailuretest.cpp
@@ -3,9 +3,9 @@
 // cause.
 
 #include "adapters/http/httpclient.h"
-#include "cli/callstory.h"
+#include "cli/calltrace.h"
 #include "fleet.h"
-#include "platform/calldialect.h"
+#include "platform/callheadernames.h"
 #include "platformfleet.h"
 #include "sampledocument.h"
 
@@ -69,13 +69,13 @@
     {
         asio::io_context context(1);
         HttpClient client(context, {});
-        const auto headerNames = Platform::callDialect();
+        const auto headerNames = Platform::callHeaderNames();
         std::vector<Result<HttpResponse>> answers(ids.size());
         const auto send = [&](std::size_t i) -> asio::awaitable<void> {
             HttpRequest request(http::verb::get, "/" + routeName + "/1", 11);
             request.set(http::field::host, "pedidos.example");
             request.set(headerNames.requestId, ids[i]);
-            request.set(headerNames.timeLeft, "5000");
+            request.set(headerNames.timeoutMs, "5000");
             answers[i] = co_await client.exchange(fleet.ingress(0), std::move(request), Clock::now() + Limit);
         };
         for (std::size_t i = 0; i < ids.size(); ++i) {
@@ -92,7 +92,7 @@
         std::string table;
         while (table.find(lastEvent) == std::string::npos && Clock::now() < until) {
             std::this_thread::sleep_for(Milliseconds(50));
-            CallStory story(id);
+            CallTrace story(id);
             std::ifstream log(fleet.nodeLog(0));
             story.read(log);
             table = story.table();
--- a/autotests/support/fakeobjectstore.h
+++ b/autotests/support/fakeobjectstore.h
@@ -29,7 +29,7 @@
     std::function<bool(const std::string &key)> delays;
 
     // Executes the delayed writes in the order sent, if the versions that they expect still match.
-    void landDelayed()
+    void applyDelayedWrites()
     {
         for (const auto &[key, value, expected] : std::exchange(m_delayed, {})) {
             const auto found = objects.find(key);
--- a/autotests/support/heapcounter.h
+++ b/autotests/support/heapcounter.h
@@ -15,13 +15,13 @@
 inline std::atomic<std::int64_t> peakBytes = 0;
 
 // Restarts the measurement of the peak and returns the bytes that are allocated now.
-inline std::int64_t restartPeak()
+inline std::int64_t resetPeak()
 {
     peakBytes = liveBytes.load();
     return liveBytes;
 }
 
-inline void *take(std::size_t size)
+inline void *allocate(std::size_t size)
 {
     void *memory = std::malloc(size);
     if (memory == nullptr) {
@@ -34,7 +34,7 @@
     return memory;
 }
 
-inline void give(void *memory)
+inline void deallocate(void *memory)
 {
     liveBytes -= static_cast<std::int64_t>(malloc_usable_size(memory));
     std::free(memory);
@@ -44,15 +44,15 @@
 
 void *operator new(std::size_t size)
 {
-    return Galenahill::HeapCounter::take(size);
+    return Galenahill::HeapCounter::allocate(size);
 }
 
 void operator delete(void *memory) noexcept
 {
-    Galenahill::HeapCounter::give(memory);
+    Galenahill::HeapCounter::deallocate(memory);
 }
 
 void operator delete(void *memory, std::size_t) noexcept
 {
-    Galenahill::HeapCounter::give(memory);
+    Galenahill::HeapCounter::deallocate(memory);
 }
--- a/autotests/support/httptest.h
+++ b/autotests/support/httptest.h
@@ -15,7 +15,7 @@
 namespace Galenahill {
 
 // How long a test waits for an expected event; generous, for busy machines.
-inline constexpr Milliseconds Patience{30000};
+inline constexpr Milliseconds TestTimeout{30000};
 
 // The loopback address of a test program's server with that number. Programs that may run at the same
 // time use different numbers.
@@ -52,7 +52,7 @@
 
     // Runs the function on the server's thread and returns its result.
     template <typename Function>
-    auto ask(Function function)
+    auto invoke(Function function)
     {
         std::packaged_task<decltype(function(m_server))()> task([&] { return function(m_server); });
         auto result = task.get_future();
@@ -64,9 +64,9 @@
     template <typename Condition>
     bool waitUntil(Condition condition)
     {
-        const auto end = Clock::now() + Patience;
+        const auto end = Clock::now() + TestTimeout;
         while (Clock::now() < end) {
-            if (ask(condition)) {
+            if (invoke(condition)) {
                 return true;
             }
             std::this_thread::sleep_for(Milliseconds(5));
@@ -82,14 +82,14 @@
 };
 
 // A client that sends arbitrary bytes.
-class RawCaller
+class RawClient
 {
 public:
-    explicit RawCaller(const Endpoint &endpoint)
+    explicit RawClient(const Endpoint &endpoint)
         : m_socket(m_context)
     {
         m_socket.connect(Tcp::endpoint(asio::ip::make_address(endpoint.address), endpoint.port));
-        const timeval limit{Patience.count() / 1000, 0};
+        const timeval limit{TestTimeout.count() / 1000, 0};
         setsockopt(m_socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     }
 
--- a/autotests/support/fleetload.h
+++ b/autotests/support/loadsimulation.h
@@ -22,7 +22,7 @@
 // Simulation of one service of a fleet under open-loop load, in model time: an ingress on each VM
 // chooses targets with the project's own classes, targets run calls in slots and queue them for a
 // bounded time. The result depends on the options and the seed only.
-class FleetLoad
+class LoadSimulation
 {
 public:
     struct Options
@@ -43,12 +43,12 @@
         // Number of targets of the first data centre that are missing from the start.
         std::size_t missing = 0;
         Milliseconds objective{500};
-        Milliseconds longestWait{75};
+        Milliseconds maxWait{75};
         Milliseconds length{5000};
         // Whether ingresses learn loads through the exchange, or from responses only.
         bool exchange = true;
         // Time from which no load reports are delivered.
-        Milliseconds silentFrom{1'000'000};
+        Milliseconds reportsLostFrom{1'000'000};
         TargetPicker::Options picker;
     };
 
@@ -58,9 +58,9 @@
         std::size_t inTime = 0;
         std::size_t late = 0;
         std::size_t refused = 0;
-        std::size_t crossed = 0;
+        std::size_t remoteCalls = 0;
         std::size_t offers = 0;
-        std::size_t crossedOffers = 0;
+        std::size_t remoteOffers = 0;
         // By data centre of the caller.
         std::vector<std::size_t> callsOf;
         std::vector<std::size_t> servedOf;
@@ -84,7 +84,7 @@
         }
     };
 
-    explicit FleetLoad(Options options)
+    explicit LoadSimulation(Options options)
         : m_options(std::move(options))
         , m_random(m_options.seed)
     {
@@ -196,20 +196,20 @@
             LoadExchange::Options options;
             options.self = node.record;
             options.seed = m_options.seed + i;
-            options.ownLoad = [this, i] { return loadOf(m_nodes[i]); };
+            options.localTargetLoad = [this, i] { return loadOf(m_nodes[i]); };
             options.send = [this, i](const Endpoint &to, const LoadReport &report) {
-                if (m_now - m_start >= m_options.silentFrom) {
+                if (m_now - m_start >= m_options.reportsLostFrom) {
                     return;
                 }
                 const auto receiver = m_index.at(to.address);
                 const auto delay = latency(m_nodes[i], m_nodes[receiver]);
                 at(m_now + delay, [this, i, receiver, report] { m_nodes[receiver].exchange->receive(m_nodes[i].record.control(), report, m_now); });
             };
-            options.targetLoad = [this, i](const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed) {
-                m_nodes[i].picker->loadObserved(target, load, wait, observed);
+            options.targetLoadReceived = [this, i](const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed) {
+                m_nodes[i].picker->updateTargetLoad(target, load, wait, observed);
             };
-            options.poolLoad = [this, i](const PoolReport &pool, TimePoint observed) {
-                m_nodes[i].picker->poolObserved(pool.dataCentre, pool.service, {pool.calls, pool.limit}, Milliseconds(pool.waitMs), observed);
+            options.poolLoadReceived = [this, i](const PoolReport &pool, TimePoint observed) {
+                m_nodes[i].picker->updatePoolLoad(pool.dataCentre, pool.service, {pool.calls, pool.limit}, Milliseconds(pool.waitMs), observed);
             };
             node.exchange = std::make_unique<LoadExchange>(std::move(options));
             node.exchange->setMembers(members);
@@ -231,7 +231,7 @@
         return std::chrono::microseconds(static_cast<std::int64_t>(m_options.workMs * 1000 / node.speed / m_options.slots));
     }
 
-    OwnLoad loadOf(const Node &node) const
+    LocalTargetLoad loadOf(const Node &node) const
     {
         if (!node.hasTarget) {
             return {};
@@ -280,9 +280,9 @@
             return;
         }
         const auto target = m_index.at(choice.target->address);
-        ingress.picker->begin(choice.target->name, m_now);
+        ingress.picker->addInFlight(choice.target->name, m_now);
         ++m_result.offers;
-        m_result.crossedOffers += choice.target->dataCentre != ingress.record.dataCentre ? 1 : 0;
+        m_result.remoteOffers += choice.target->dataCentre != ingress.record.dataCentre ? 1 : 0;
         at(m_now + latency(ingress, m_nodes[target]), [this, call, target, mayWait = choice.mayWait] { arrive(call, target, mayWait); });
     }
 
@@ -293,7 +293,7 @@
             start(call, index);
             return;
         }
-        const auto until = call->begin + m_options.longestWait;
+        const auto until = call->begin + m_options.maxWait;
         if (!mayWait || m_now + slotInterval(target) * static_cast<int>(target.queue.size() + 1) >= until) {
             reply(call, index, false);
             return;
@@ -346,14 +346,14 @@
         at(m_now + latency(target, m_nodes[call->ingress]), [this, call, index, ran, load] {
             auto &ingress = m_nodes[call->ingress];
             const auto &name = m_nodes[index].record.name;
-            ingress.picker->end(name);
-            ingress.picker->reported(name, load.load, m_now);
+            ingress.picker->removeInFlight(name);
+            ingress.picker->updateReportedLoad(name, load.load, m_now);
             ingress.picker->updateExpectedWait(name, load.wait, m_now);
             if (!ran) {
                 offer(call);
                 return;
             }
-            ingress.picker->succeeded(ServiceName("board"), name);
+            ingress.picker->attemptSucceeded(ServiceName("board"), name);
             answered(*call, m_nodes[index]);
         });
     }
@@ -362,7 +362,7 @@
     {
         const auto &ingress = m_nodes[call.ingress];
         ++(m_now - call.begin <= m_options.objective ? m_result.inTime : m_result.late);
-        m_result.crossed += target.record.dataCentre != ingress.record.dataCentre ? 1 : 0;
+        m_result.remoteCalls += target.record.dataCentre != ingress.record.dataCentre ? 1 : 0;
         ++m_result.servedOf[call.ingress / m_options.members];
     }
 
--- a/autotests/support/memberships.h
+++ b/autotests/support/membershipnetwork.h
@@ -13,11 +13,11 @@
 
 // Several members connected by an in-memory network that drops, duplicates, reorders or blocks
 // datagrams on demand. Time advances only in `run`.
-class Memberships
+class MembershipNetwork
 {
 public:
     // All members know each other at the start; `change` may override the default options.
-    explicit Memberships(std::size_t count, std::function<void(Membership::Options &)> change = {})
+    explicit MembershipNetwork(std::size_t count, std::function<void(Membership::Options &)> change = {})
         : m_change(std::move(change))
     {
         for (std::size_t i = 0; i < count; ++i) {
@@ -47,7 +47,7 @@
         options.send = [this, i](const Endpoint &to, const GossipMessage &message) { send(i, to, message); };
         options.changed = [] {};
         options.revision = [this, i] { return revisions[i]; };
-        options.revisionHeard = [this, i](const Endpoint &, Revision revision) { adoptRevision(i, revision); };
+        options.revisionAdvertised = [this, i](const Endpoint &, Revision revision) { adoptRevision(i, revision); };
         if (m_change) {
             m_change(options);
         }
@@ -90,7 +90,7 @@
     }
 
     // Whether each running member sees all other running ones as ready.
-    bool whole() const
+    bool allReady() const
     {
         for (std::size_t i = 0; i < members.size(); ++i) {
             for (std::size_t j = 0; j < members.size() && !stopped.contains(i); ++j) {
@@ -140,7 +140,7 @@
     double lossRatio = 0;
     double duplicateRatio = 0;
     // Delivers the datagrams of a step in random order.
-    bool crossing = false;
+    bool reordering = false;
     // Whether datagrams between the two members get through.
     std::function<bool(std::size_t, std::size_t)> connected = [](std::size_t, std::size_t) { return true; };
     std::size_t datagrams = 0;
@@ -186,7 +186,7 @@
     void deliver()
     {
         while (!m_inFlight.empty()) {
-            if (crossing) {
+            if (reordering) {
                 std::shuffle(m_inFlight.begin(), m_inFlight.end(), m_random);
             }
             const auto datagram = m_inFlight.front();
--- a/autotests/support/rolloutfleet.cpp
+++ b/autotests/support/rolloutfleet.cpp
@@ -73,13 +73,13 @@
 {
     auto &node = m_nodes[i];
     ++node.record.incarnation;
-    node.control = std::make_unique<RolloutControl>(RolloutControl::Options{.self = node.record,
+    node.control = std::make_unique<RolloutController>(RolloutController::Options{.self = node.record,
         .seed = m_options.seed * 1000 + i,
         .send = [this, i](const Endpoint &to, const RolloutReport &report) { send(i, to, report); },
         .targetIdle = [this, i] { return m_nodes[i].running.empty(); },
         .changed = [](const RolloutRecord &, const std::string &) {}});
     node.split = std::make_unique<VersionSplit>(m_options.seed * 1000 + i);
-    node.control->setOwnVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - timeSinceStart() : m_now);
+    node.control->setLocalVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - timeSinceStart() : m_now);
     node.control->setMembers(members(), m_now);
     node.read = ObjectVersion();
 }
@@ -108,7 +108,7 @@
 {
     const auto target = static_cast<std::size_t>(std::stoul(to.address.substr(to.address.rfind('.') + 1)));
     m_result.datagramBytes += 60 * report.records.size() + 60 * report.counts.size();
-    if (m_options.cutOff(from, m_seconds) || m_options.cutOff(target, m_seconds) || uniform() < m_options.lostDatagrams) {
+    if (m_options.isPartitioned(from, m_seconds) || m_options.isPartitioned(target, m_seconds) || uniform() < m_options.datagramLoss) {
         return;
     }
     const Milliseconds delay(static_cast<std::int64_t>(1 + 30 * uniform()));
@@ -133,7 +133,7 @@
     const auto rules = m_nodes[node].control->rules(m_now);
     const auto rule = rules.find(Service);
     m_nodes[node].rule = rule == rules.end() ? std::nullopt : std::optional(rule->second);
-    m_nodes[node].localRule = m_nodes[node].control->ownRule(m_now);
+    m_nodes[node].localRule = m_nodes[node].control->localRule(m_now);
 }
 
 bool RolloutFleet::accepts(std::size_t target, bool assigned) const
@@ -144,7 +144,7 @@
     }
     const bool ofVersion = m_nodes[target].record.version == rule->version;
     switch (rule->mode) {
-    case VersionRule::Mode::Trial:
+    case VersionRule::Mode::Canary:
         return !ofVersion || assigned;
     case VersionRule::Mode::Excluded:
         return !ofVersion;
@@ -183,7 +183,7 @@
 {
     ++m_result.calls;
     const auto rule = m_nodes[ingress].rule.value_or(VersionRule{.mode = VersionRule::Mode::Excluded});
-    const bool trial = rule.mode == VersionRule::Mode::Trial;
+    const bool trial = rule.mode == VersionRule::Mode::Canary;
     const bool only = rule.mode == VersionRule::Mode::Only;
     const bool assigned = m_seconds >= NewReadyAt && trial && m_nodes[ingress].split->next(Service, rule.share);
     auto target = assigned || only ? chooseTarget(true, assigned, rule.targets) : std::nullopt;
@@ -191,7 +191,7 @@
         target = chooseTarget(false, false, {});
     }
     if (!target) {
-        ++m_result.unplaced;
+        ++m_result.callsWithoutTarget;
         return;
     }
     run(*target);
@@ -208,22 +208,22 @@
         .route = call.route,
         .seconds = m_seconds,
         .load = static_cast<double>(node.running.size()) / static_cast<double>(m_options.slots),
-        .odd = m_result.calls % 2 == 1};
+        .isOddCall = m_result.calls % 2 == 1};
     const auto behaviour = m_options.behaviour(situation);
     const double speeds[] = {0.67, 1, 1, 2};
     const double cold = ofNew && m_seconds < NewWarmAt ? 2 : 1;
     const double work = std::lognormal_distribution<double>(-0.11, 0.47)(m_random);
     const double wanted = m_options.routeMs[call.route] * work * speeds[target % 4] * cold * behaviour.slowdown;
     const double timeout = 6 * m_options.routeMs[call.route];
-    const bool fails = uniform() < behaviour.failing + 0.001;
-    call.how = fails ? TargetEnd::Failed : wanted > timeout ? TargetEnd::GivenUp : TargetEnd::Answered;
+    const bool fails = uniform() < behaviour.failureRate + 0.001;
+    call.how = fails ? TargetResult::Failed : wanted > timeout ? TargetResult::Abandoned : TargetResult::Answered;
     call.time = Milliseconds(static_cast<std::int64_t>(std::min(wanted, timeout)));
     call.end = m_now + call.time;
     call.bad = ofNew && (fails || behaviour.slowdown > 2);
     node.running.push_back(call);
     if (ofNew) {
         ++m_result.newVersionCalls;
-        m_result.afterCutOff += m_fiftiethBadAt && m_seconds > *m_fiftiethBadAt + 5 ? 1 : 0;
+        m_result.lateNewVersionCalls += m_fiftiethBadAt && m_seconds > *m_fiftiethBadAt + 5 ? 1 : 0;
     }
 }
 
@@ -235,8 +235,8 @@
                 return false;
             }
             node.control->callEnded(RouteName("route-" + std::to_string(call.route)), call.how, call.time, m_now);
-            m_result.badAnswers += call.bad ? 1 : 0;
-            if (m_result.badAnswers >= 50 && !m_fiftiethBadAt) {
+            m_result.badResponses += call.bad ? 1 : 0;
+            if (m_result.badResponses >= 50 && !m_fiftiethBadAt) {
                 m_fiftiethBadAt = m_seconds;
             }
             return true;
@@ -272,9 +272,9 @@
 void RolloutFleet::readStore(std::size_t i)
 {
     auto &node = m_nodes[i];
-    const bool reads = node.control->isJudge() && node.read != m_version && m_options.storeAnswers(i, m_seconds);
+    const bool reads = node.control->isEvaluator() && node.read != m_version && m_options.storeResponds(i, m_seconds);
     if (reads) {
-        node.control->orderRead({m_spec, m_version, m_stage}, node.read == ObjectVersion(), m_now);
+        node.control->specRead({m_spec, m_version, m_stage}, node.read == ObjectVersion(), m_now);
         node.read = m_version;
     }
 }
@@ -283,7 +283,7 @@
 {
     auto &node = m_nodes[i];
     for (const auto &write : node.control->dueWrites(m_now)) {
-        if (!m_options.storeAnswers(i, m_seconds)) {
+        if (!m_options.storeResponds(i, m_seconds)) {
             continue;
         }
         if (write.expected != m_version) {
@@ -294,7 +294,7 @@
         changeStore(write.stage);
         // One response in four is lost after the write.
         if (uniform() < 0.75) {
-            node.control->written(write, m_version, m_now);
+            node.control->writeCompleted(write, m_version, m_now);
         }
     }
 }
--- a/autotests/support/rolloutfleet.h
+++ b/autotests/support/rolloutfleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/rollouts/rolloutcontrol.h"
+#include "core/rollouts/rolloutcontroller.h"
 #include "core/rollouts/versionsplit.h"
 
 #include <functional>
@@ -23,7 +23,7 @@
     struct Behaviour
     {
         double slowdown = 1;
-        double failing = 0;
+        double failureRate = 0;
     };
 
     // State of a target when a call starts.
@@ -36,7 +36,7 @@
         // Calls that run at the target, as a share of its slots.
         double load = 0;
         // True for every other call.
-        bool odd = false;
+        bool isOddCall = false;
     };
 
     struct Options
@@ -48,12 +48,12 @@
         std::size_t newTargets = 20;
         std::size_t slots = 13;
         std::vector<double> routeMs = {210, 60};
-        double lostDatagrams = 0.05;
+        double datagramLoss = 0.05;
         std::function<Behaviour(const Situation &)> behaviour = [](const Situation &) { return Behaviour(); };
         // Whether the store responds to the node, and whether the node is partitioned from the
         // others.
-        std::function<bool(std::size_t node, double seconds)> storeAnswers = [](std::size_t, double) { return true; };
-        std::function<bool(std::size_t node, double seconds)> cutOff = [](std::size_t, double) { return false; };
+        std::function<bool(std::size_t node, double seconds)> storeResponds = [](std::size_t, double) { return true; };
+        std::function<bool(std::size_t node, double seconds)> isPartitioned = [](std::size_t, double) { return false; };
         // Whether the node's process restarts at that time.
         std::function<bool(std::size_t node, double seconds)> restarts = [](std::size_t, double) { return false; };
         // Call rate at that time as a multiple of the usual rate.
@@ -66,12 +66,12 @@
         double writtenAt = 0;
         std::size_t calls = 0;
         std::size_t newVersionCalls = 0;
-        std::size_t badAnswers = 0;
+        std::size_t badResponses = 0;
         // Calls sent to the new version more than five seconds after its 50th bad response.
-        std::size_t afterCutOff = 0;
+        std::size_t lateNewVersionCalls = 0;
         // Calls that ran on old targets when the success was written.
         std::size_t runningOnOld = 0;
-        std::size_t unplaced = 0;
+        std::size_t callsWithoutTarget = 0;
         std::size_t datagramBytes = 0;
 
         std::optional<RolloutStage> end() const
@@ -99,14 +99,14 @@
         std::size_t route = 0;
         TimePoint end;
         Milliseconds time{0};
-        TargetEnd how = TargetEnd::Answered;
+        TargetResult how = TargetResult::Answered;
         bool bad = false;
     };
 
     struct Node
     {
         MemberRecord record;
-        std::unique_ptr<RolloutControl> control;
+        std::unique_ptr<RolloutController> control;
         std::unique_ptr<VersionSplit> split;
         std::vector<Call> running;
         std::optional<VersionRule> rule;
@@ -130,7 +130,7 @@
     std::size_t m_members = 0;
     TimePoint m_now{std::chrono::hours(1)};
     double m_seconds = 0;
-    RolloutOrder m_spec;
+    RolloutSpec m_spec;
     ObjectVersion m_version{10};
     std::optional<RolloutStage> m_stage;
     std::optional<double> m_fiftiethBadAt;
--- a/autotests/support/scriptedstore.h
+++ b/autotests/support/scriptedstore.h
@@ -36,19 +36,19 @@
     asio::awaitable<Result<ObjectVersion>> write(std::string kind, std::string name, std::string, ObjectVersion) override
     {
         calledWith.push_back("write " + kind + " " + name);
-        co_return putAnswer.map([] { return ObjectVersion(); });
+        co_return putResponse.map([] { return ObjectVersion(); });
     }
 
     asio::awaitable<Result<void>> put(std::string kind, std::string name, std::string) override
     {
         calledWith.push_back("put " + kind + " " + name);
-        co_return putAnswer;
+        co_return putResponse;
     }
 
     asio::awaitable<Result<ObjectVersion>> writeStatus(std::string kind, std::string name, std::string, ObjectVersion) override
     {
         calledWith.push_back("status " + kind + " " + name);
-        co_return putAnswer.map([] { return ObjectVersion(); });
+        co_return putResponse.map([] { return ObjectVersion(); });
     }
 
     asio::awaitable<Result<void>> remove(std::string kind, std::string name, ObjectVersion) override
@@ -62,20 +62,20 @@
         return calledWith.size();
     }
 
-    std::deque<Result<DocumentSet>> answers;
-    Result<void> putAnswer;
+    std::deque<Result<DocumentSet>> responses;
+    Result<void> putResponse;
     std::vector<std::string> calledWith;
 
 private:
     asio::awaitable<Result<DocumentSet>> next()
     {
-        if (answers.empty()) {
+        if (responses.empty()) {
             asio::steady_timer timer(m_context, std::chrono::hours(1));
             ErrorCode ignored;
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
-        auto response = std::move(answers.front());
-        answers.pop_front();
+        auto response = std::move(responses.front());
+        responses.pop_front();
         co_return response;
     }
 
--- a/autotests/unit/acceptanceracetest.cpp
+++ b/autotests/unit/acceptanceracetest.cpp
@@ -38,7 +38,7 @@
     std::vector<ApplyRequest> unknown;
     std::vector<std::unique_ptr<BlobCollector>> collectors;
     ConfigRepository repository{
-        {.store = store, .inForce = [] { return nullptr; }, .highestKnown = [] { return Revision(); }, .now = [] { return std::int64_t(1); }}};
+        {.store = store, .inForce = [] { return nullptr; }, .highestKnownRevision = [] { return Revision(); }, .now = [] { return std::int64_t(1); }}};
 
     bool chance(int percent)
     {
@@ -53,7 +53,7 @@
             --depth;
         }
         if (chance(3)) {
-            store.landDelayed();
+            store.applyDelayedWrites();
         }
         const bool rejects = operation != "watch" && chance(3);
         return rejects ? std::optional(Error{ErrorKind::Unavailable, "down"}) : std::nullopt;
@@ -68,7 +68,7 @@
         if (!unknown.empty() && chance(30)) {
             auto request = unknown.back();
             unknown.pop_back();
-            request.repeated = true;
+            request.isRetry = true;
             run(request);
             return;
         }
@@ -104,7 +104,7 @@
         store.before = nullptr;
         store.afterWrite = nullptr;
         store.delays = nullptr;
-        store.landDelayed();
+        store.applyDelayedWrites();
         return repository.readHead()->manifest;
     }
 };
--- a/autotests/unit/admissioncontrollertest.cpp
+++ b/autotests/unit/admissioncontrollertest.cpp
@@ -20,7 +20,7 @@
     std::uint32_t admitAll()
     {
         std::uint32_t admitted = 0;
-        while (admission.tryEnter(now)) {
+        while (admission.tryAcquire(now)) {
             ++admitted;
         }
         return admitted;
@@ -33,7 +33,7 @@
         const auto begin = now;
         now += time;
         for (std::uint32_t i = 0; i < admitted; ++i) {
-            admission.leave(Orders, begin, AdmissionController::End::Answered, now);
+            admission.release(Orders, begin, AdmissionController::ReleaseReason::Answered, now);
         }
         return admitted;
     }
@@ -72,7 +72,7 @@
     BOOST_TEST(admitAll() == 6U);
     now += Milliseconds(300);
     for (int i = 0; i < 6; ++i) {
-        admission.leave(Orders, begin, AdmissionController::End::GivenUp, now);
+        admission.release(Orders, begin, AdmissionController::ReleaseReason::TimedOut, now);
     }
     BOOST_TEST(admitAll() == 0U);
     now = admission.nextRelease();
@@ -89,11 +89,11 @@
     }
     for (int i = 0; i < 20; ++i) {
         const auto begin = now;
-        BOOST_REQUIRE(admission.tryEnter(now));
-        BOOST_REQUIRE(admission.tryEnter(now));
+        BOOST_REQUIRE(admission.tryAcquire(now));
+        BOOST_REQUIRE(admission.tryAcquire(now));
         now += Milliseconds(10);
-        admission.leave(Orders, begin, AdmissionController::End::Answered, now);
-        admission.leave(RouteName("hasty"), begin, AdmissionController::End::GivenUp, now);
+        admission.release(Orders, begin, AdmissionController::ReleaseReason::Answered, now);
+        admission.release(RouteName("hasty"), begin, AdmissionController::ReleaseReason::TimedOut, now);
         now += Milliseconds(30);
     }
     BOOST_TEST(admission.limit() == 6U);
@@ -115,18 +115,18 @@
     BOOST_TEST(admission.limit() <= 4U);
     for (int i = 0; i < 20; ++i) {
         const auto begin = now;
-        BOOST_REQUIRE(admission.tryEnter(now));
+        BOOST_REQUIRE(admission.tryAcquire(now));
         now += Milliseconds(500);
-        admission.leave(Orders, begin, AdmissionController::End::Shed, now);
+        admission.release(Orders, begin, AdmissionController::ReleaseReason::Overloaded, now);
     }
     BOOST_TEST(admitAll() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(drainingRejectsFromTheMomentItStarts)
 {
-    BOOST_TEST(admission.tryEnter(now));
+    BOOST_TEST(admission.tryAcquire(now));
     admission.startDraining();
-    BOOST_TEST(!admission.tryEnter(now));
+    BOOST_TEST(!admission.tryAcquire(now));
     BOOST_TEST(admission.inFlight() == 1U);
 }
 
@@ -151,9 +151,9 @@
     const auto admitted = admitAll();
     BOOST_TEST(admitted == 6U);
     for (std::uint32_t i = 0; i < admitted; ++i) {
-        admission.leave(Orders, now, AdmissionController::End::Cancelled, now);
+        admission.release(Orders, now, AdmissionController::ReleaseReason::Cancelled, now);
     }
-    BOOST_TEST(!admission.tryEnter(now));
+    BOOST_TEST(!admission.tryAcquire(now));
     BOOST_TEST(admission.limit() == 6U);
     now = admission.nextRelease();
     admission.releaseHeld(now);
--- a/autotests/unit/attempttimertest.cpp
+++ b/autotests/unit/attempttimeoutpolicytest.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/attempttimer.h"
+#include "core/calls/attempttimeoutpolicy.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,9 +16,9 @@
 // other target could be tried.
 BOOST_AUTO_TEST_CASE(leavesTimeForAnotherAttempt)
 {
-    AttemptTimer timer;
+    AttemptTimeoutPolicy timer;
     BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Deadline));
-    timer.observed(Board, Milliseconds(20));
+    timer.record(Board, Milliseconds(20));
     BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Now + Milliseconds(150)));
 }
 
@@ -27,10 +27,10 @@
 // route becomes that slow suddenly, attempts get more time after a few calls.
 BOOST_AUTO_TEST_CASE(doesNotShortenRoutesThatNeedTheirTimeout)
 {
-    AttemptTimer timer;
-    timer.observed(Board, Milliseconds(20));
+    AttemptTimeoutPolicy timer;
+    timer.record(Board, Milliseconds(20));
     for (int i = 0; i < 40; ++i) {
-        timer.observed(Board, Milliseconds(150));
+        timer.record(Board, Milliseconds(150));
     }
     BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Deadline));
 }
--- a/autotests/unit/attemptpatiencetest.cpp
+++ b/autotests/unit/attempttimeouttest.cpp
@@ -44,7 +44,7 @@
     Ingress ingress{{.client = client,
         .node = NodeName("n"),
         .dataCentre = DataCentre("rosario-a"),
-        .callEnded = [](const RouteDefinition &, CallEnd, std::chrono::microseconds) {}}};
+        .callEnded = [](const RouteDefinition &, CallResult, std::chrono::microseconds) {}}};
     HttpServer ingressServer{context, {.endpoint = IngressEndpoint, .handler = [this](HttpRequest request, ServerConnection &connection) {
                                            return ingress.handle(std::move(request), connection);
                                        }}};
@@ -137,7 +137,7 @@
     // the caller gets the other target's response.
     bool becomesCancelled() const
     {
-        const auto end = Clock::now() + Patience;
+        const auto end = Clock::now() + TestTimeout;
         while (cancelledAttempts == 0 && Clock::now() < end) {
             std::this_thread::sleep_for(Milliseconds(5));
         }
@@ -147,7 +147,7 @@
     // Sends a call and returns the complete response.
     static std::string call()
     {
-        RawCaller caller(IngressEndpoint);
+        RawClient caller(IngressEndpoint);
         caller.send("GET /cola/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
         return caller.readToEnd().value_or("");
     }
@@ -187,7 +187,7 @@
 BOOST_AUTO_TEST_CASE(AStoppingNodeCancelsNoAttempt)
 {
     setMembers({member("slow", SlowEndpoint), member("other", OtherEndpoint)});
-    onDataThread([this] { ingress.stop(); });
+    onDataThread([this] { ingress.prepareToStop(); });
     for (int i = 0; i < MaxCalls && slowCalls == 0; ++i) {
         BOOST_TEST(call().find("200 OK") != std::string::npos);
     }
--- a/autotests/unit/blobcollectortest.cpp
+++ b/autotests/unit/blobcollectortest.cpp
@@ -13,7 +13,7 @@
     FakeObjectStore store;
     std::shared_ptr<const ConfigRevision> inForce;
     ConfigRepository repository{
-        {.store = store, .inForce = [this] { return inForce; }, .highestKnown = [] { return Revision(); }, .now = [] { return std::int64_t(1); }}};
+        {.store = store, .inForce = [this] { return inForce; }, .highestKnownRevision = [] { return Revision(); }, .now = [] { return std::int64_t(1); }}};
     BlobCollector collector{{.store = store, .repository = repository}};
     int applies = 0;
 
--- a/autotests/unit/bodyintaketest.cpp
+++ b/autotests/unit/bodyreceivertest.cpp
@@ -1,4 +1,4 @@
-#include "daemon/bodyintake.h"
+#include "daemon/bodyreceiver.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -33,7 +33,7 @@
         return m_left == 0;
     }
 
-    bool taken() const override
+    bool readStarted() const override
     {
         return m_left < Length;
     }
@@ -112,15 +112,15 @@
     FakeConnection connection;
     HttpRequest request;
     SlotCall call;
-    std::optional<BodyIntake::Outcome> outcome;
+    std::optional<BodyReceiver::ReceiveResult> outcome;
 };
 
 // A target with two slots behind a link of 7 Mbit/s that carries one body at a time.
 struct Fixture
 {
     Fixture()
-        : slots(std::make_shared<SlotLine>(context, policy()))
-        , receiver(context, {.bytesPerSecond = 875000, .transfers = 1, .share = 1}, *slots)
+        : slots(std::make_shared<SlotQueue>(context, policy()))
+        , receiver(context, {.bytesPerSecond = 875000, .maxTransfers = 1, .bodyFraction = 1}, *slots)
     {
         slots->setSlots(2);
     }
@@ -144,7 +144,7 @@
         call.terms.mayWait = mayWait;
         asio::co_spawn(
             context,
-            [this, &it = *upload]() -> asio::awaitable<void> { it.outcome = co_await receiver.take(it.request, it.call, it.connection); },
+            [this, &it = *upload]() -> asio::awaitable<void> { it.outcome = co_await receiver.receive(it.request, it.call, it.connection); },
             asio::detached);
         runReady();
         return upload;
@@ -158,8 +158,8 @@
     }
 
     asio::io_context context{1};
-    std::shared_ptr<SlotLine> slots;
-    BodyIntake receiver;
+    std::shared_ptr<SlotQueue> slots;
+    BodyReceiver receiver;
 };
 
 }
@@ -174,17 +174,17 @@
     const auto second = offer(Milliseconds(30000));
     const auto third = offer(Milliseconds(30000), false);
     BOOST_REQUIRE(third->outcome.has_value());
-    BOOST_TEST((third->outcome->end == BodyIntake::End::Refused));
+    BOOST_TEST((third->outcome->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
     BOOST_REQUIRE(first->outcome.has_value());
-    BOOST_TEST((first->outcome->end == BodyIntake::End::Here));
+    BOOST_TEST((first->outcome->status == BodyReceiver::Status::Complete));
     BOOST_TEST(first->request.body().size() == FakeBody::Length);
     BOOST_TEST(!second->outcome.has_value());
     second->connection.body.arrive();
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->end == BodyIntake::End::Here));
+    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Complete));
 }
 
 // An ingress dies while it sends a body. The next body can start.
@@ -195,10 +195,10 @@
     first->connection.body.cutOff();
     runReady();
     BOOST_REQUIRE(first->outcome.has_value());
-    BOOST_TEST((first->outcome->end == BodyIntake::End::CutOff));
+    BOOST_TEST((first->outcome->status == BodyReceiver::Status::Interrupted));
     second->connection.body.arrive();
     runReady();
-    BOOST_TEST((second->outcome.value().end == BodyIntake::End::Here));
+    BOOST_TEST((second->outcome.value().status == BodyReceiver::Status::Complete));
 }
 
 // A caller disconnects while its upload waits for the link. No part of the body is ever read.
@@ -209,10 +209,10 @@
     second->connection.cancellation().cancel();
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
+    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
-    BOOST_TEST(!second->connection.body.taken());
+    BOOST_TEST(!second->connection.body.readStarted());
 }
 
 // After a restart of the fleet, all calls of the target have taken longer than an upload's objective.
@@ -224,10 +224,10 @@
     BOOST_TEST(!first->outcome.has_value());
     const auto second = offer(Milliseconds(5));
     BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
+    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
-    BOOST_TEST((first->outcome.value().end == BodyIntake::End::Here));
+    BOOST_TEST((first->outcome.value().status == BodyReceiver::Status::Complete));
 }
 
 // The target starts draining while an upload waits for the link.
@@ -235,10 +235,10 @@
 {
     const auto first = offer(Milliseconds(30000));
     const auto second = offer(Milliseconds(30000));
-    receiver.refuseWaiting();
+    receiver.rejectWaiting();
     runReady();
     BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->end == BodyIntake::End::Refused));
+    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
     BOOST_TEST(!first->outcome.has_value());
     first->connection.body.cutOff();
     runReady();
--- a/autotests/unit/callpathtest.cpp
+++ b/autotests/unit/callpathtest.cpp
@@ -46,7 +46,7 @@
         return m_left == 0 && !m_cut;
     }
 
-    bool taken() const override
+    bool readStarted() const override
     {
         return true;
     }
@@ -87,7 +87,7 @@
     Ingress ingress{{.client = client,
         .node = NodeName("n"),
         .dataCentre = DataCentre("rosario-a"),
-        .callEnded = [](const RouteDefinition &, CallEnd, std::chrono::microseconds) {}}};
+        .callEnded = [](const RouteDefinition &, CallResult, std::chrono::microseconds) {}}};
     Sidecar sidecar{{.context = context,
         .client = client,
         .service = ServiceName("ventas"),
@@ -140,7 +140,7 @@
     {
         constexpr int Slots = 9;
         for (int call = 0; call < Slots; ++call) {
-            RawCaller caller(IngressEndpoint);
+            RawClient caller(IngressEndpoint);
             caller.send("POST /ventas/upload HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx");
             caller.readTo("taken 1;");
         }
@@ -230,7 +230,7 @@
 
     bool becomesIdle()
     {
-        const auto end = Clock::now() + Patience;
+        const auto end = Clock::now() + TestTimeout;
         while (inFlight() > 0 && Clock::now() < end) {
             std::this_thread::sleep_for(Milliseconds(2));
         }
@@ -244,7 +244,7 @@
 }
 
 // Sends a large body and returns how many bytes of it the target received.
-std::string upload(RawCaller &caller)
+std::string upload(RawClient &caller)
 {
     caller.send(uploadHeader(LargeBytes));
     const std::string part(64 * 1024, 'x');
@@ -262,7 +262,7 @@
 // response that nobody reads.
 BOOST_FIXTURE_TEST_CASE(PropagatesCancellationToTheTarget, Fixture)
 {
-    RawCaller caller(IngressEndpoint);
+    RawClient caller(IngressEndpoint);
     caller.send("GET /ventas/wait HTTP/1.1\r\nHost: h\r\n\r\n");
     while (targetCalls == 0) {
         std::this_thread::sleep_for(Milliseconds(2));
@@ -278,13 +278,13 @@
 BOOST_FIXTURE_TEST_CASE(BuffersOnlyPartsOfLargeBodies, Fixture)
 {
     constexpr int Callers = 6;
-    const auto before = HeapCounter::restartPeak();
+    const auto before = HeapCounter::resetPeak();
     std::vector<std::thread> threads;
     threads.reserve(Callers);
     std::atomic<int> complete = 0;
     for (int i = 0; i < Callers; ++i) {
         threads.emplace_back([&] {
-            RawCaller caller(IngressEndpoint);
+            RawClient caller(IngressEndpoint);
             complete += upload(caller) == std::to_string(LargeBytes) + ";" ? 1 : 0;
             caller.send("GET /ventas/large HTTP/1.1\r\nHost: h\r\n\r\n");
             const auto header = caller.readTo("\r\n\r\n");
@@ -308,7 +308,7 @@
 BOOST_FIXTURE_TEST_CASE(ForwardsATruncatedResponseAsTruncated, Fixture)
 {
     for (const std::string path : {"/ventas/large-cut", "/ventas/large-chunked-cut"}) {
-        RawCaller caller(IngressEndpoint);
+        RawClient caller(IngressEndpoint);
         caller.send("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
         caller.readTo("\r\n\r\n");
         BOOST_TEST(caller.skipToEnd() != "0\r\n\r\n");
@@ -324,7 +324,7 @@
 {
     setMembers({member("a", SidecarEndpoint), member("b", RefusingEndpoint)});
     for (int i = 0; i < 8; ++i) {
-        RawCaller caller(IngressEndpoint);
+        RawClient caller(IngressEndpoint);
         BOOST_TEST(upload(caller) == std::to_string(LargeBytes) + ";");
     }
     BOOST_TEST(targetCalls == 8);
@@ -335,7 +335,7 @@
 // again.
 BOOST_FIXTURE_TEST_CASE(StripsForgedFields, Fixture)
 {
-    RawCaller caller(IngressEndpoint);
+    RawClient caller(IngressEndpoint);
     caller.send("GET /ventas/fields HTTP/1.1\r\nGALENAHILL-Call-Id: forged\r\nHost: h\r\nConnection: X-Hop, keep-alive\r\ngalenahill-service: forged\r\n"
                 "X-Hop: forged\r\nX-Own: kept\r\nGalenahill-Outcome: forged\r\ngalenaHILL-anything: forged\r\n\r\n");
     const auto header = caller.readTo("\r\n\r\n");
@@ -353,7 +353,7 @@
 {
     constexpr std::uint64_t Calls = 1000;
     constexpr std::uint64_t MaxPerCall = 110;
-    RawCaller caller(IngressEndpoint);
+    RawClient caller(IngressEndpoint);
     const std::string request = "GET /ventas/a HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n";
     std::uint64_t before = 0;
     for (std::uint64_t i = 0; i < Calls + 100; ++i) {
--- a/autotests/unit/callqueuetest.cpp
+++ b/autotests/unit/callqueuetest.cpp
@@ -24,7 +24,7 @@
 {
     CallQueue queue({});
     for (std::uint64_t i = 0; i < 6; ++i) {
-        queue.started(Flood);
+        queue.callStarted(Flood);
         BOOST_TEST(!queue.push(ticket(i), Flood, Capacity).has_value());
     }
     BOOST_TEST(queue.push(ticket(6), Flood, Capacity)->value() == 6U);
@@ -42,7 +42,7 @@
     }
     for (std::uint64_t i = 0; i < Capacity; ++i) {
         BOOST_TEST(queue.pop()->value() == i);
-        queue.started(Flood);
+        queue.callStarted(Flood);
     }
     BOOST_TEST(!queue.pop().has_value());
 }
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(newestFirstKeepsTheFairShares)
 {
     CallQueue queue({.newestFirst = true});
-    queue.started(Flood);
+    queue.callStarted(Flood);
     queue.push(ticket(1), Board, Capacity);
     queue.push(ticket(2), Flood, Capacity);
     queue.push(ticket(3), Board, Capacity);
--- a/autotests/unit/callstorytest.cpp
+++ b/autotests/unit/calltracetest.cpp
@@ -1,4 +1,4 @@
-#include "cli/callstory.h"
+#include "cli/calltrace.h"
 
 #include <boost/test/unit_test.hpp>
 #include <sstream>
@@ -17,9 +17,9 @@
                                "not a line of ours\n"
                                "{\"time_ms\":1601,\"node\":\n";
 
-CallStory traceOf(const std::string &id)
+CallTrace traceOf(const std::string &id)
 {
-    CallStory trace(id);
+    CallTrace trace(id);
     for (const auto *log : {IngressLog, SidecarLog}) {
         std::istringstream stream(log);
         trace.read(stream);
@@ -51,14 +51,14 @@
 
 BOOST_AUTO_TEST_CASE(CountsUnreadableLines)
 {
-    BOOST_TEST(traceOf("2a28").unreadable() == 2U);
+    BOOST_TEST(traceOf("2a28").unreadableLines() == 2U);
     BOOST_TEST(traceOf("2a28").table().find("2 log lines could not be parsed") != std::string::npos);
 }
 
 // Guards against lines of a call in reverse order: the clock of the sidecar's VM is an hour ahead.
 BOOST_AUTO_TEST_CASE(OrdersLinesDespiteDifferingClocks)
 {
-    CallStory trace("7f");
+    CallTrace trace("7f");
     std::istringstream ingress("{\"time_ms\":5000,\"up_ms\":900,\"node\":\"node-b\",\"event\":\"call-answered\",\"id\":\"7f\",\"ms\":300.0}\n");
     std::istringstream sidecar("{\"time_ms\":3604800,\"up_ms\":700,\"node\":\"node-a\",\"event\":\"sidecar-refused\",\"id\":\"7f\"}\n");
     trace.read(ingress);
@@ -73,7 +73,7 @@
 BOOST_AUTO_TEST_CASE(OrdersLinesOfANodeDespiteClockSteps)
 {
     for (const std::int64_t step : {-10000, 10000}) {
-        CallStory trace("7f");
+        CallTrace trace("7f");
         std::istringstream log("{\"time_ms\":50000,\"up_ms\":100,\"node\":\"node-a\",\"event\":\"sidecar-refused\",\"id\":\"7f\"}\n"
                                "{\"time_ms\":"
             + std::to_string(50200 + step) + ",\"up_ms\":300,\"node\":\"node-a\",\"event\":\"call-answered\",\"id\":\"7f\",\"ms\":250.0}\n");
@@ -87,7 +87,7 @@
 // The monotonic time of a restarted process starts from zero again.
 BOOST_AUTO_TEST_CASE(RestartIsNoClockStep)
 {
-    CallStory trace("7f");
+    CallTrace trace("7f");
     std::istringstream log("{\"time_ms\":50000,\"up_ms\":9000,\"node\":\"node-a\",\"event\":\"sidecar-refused\",\"id\":\"7f\"}\n"
                            "{\"time_ms\":52000,\"up_ms\":5,\"node\":\"node-a\",\"event\":\"sidecar-refused\",\"id\":\"7f\"}\n");
     trace.read(log);
--- a/autotests/unit/clockwatchtest.cpp
+++ b/autotests/unit/clockstepdetectortest.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet/clockwatch.h"
+#include "core/fleet/clockstepdetector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -15,9 +15,9 @@
         return detector.observe(day, steady);
     }
 
-    ClockWatch detector;
+    ClockStepDetector detector;
     TimePoint steady{Milliseconds(5000)};
-    ClockWatch::TimeOfDay day{Milliseconds(1'700'000'000'000)};
+    ClockStepDetector::TimeOfDay day{Milliseconds(1'700'000'000'000)};
 };
 
 }
--- a/autotests/unit/configmemorytest.cpp
+++ b/autotests/unit/configmemorytest.cpp
@@ -5,7 +5,7 @@
 
 #include "adapters/codec/deltabases.h"
 #include "adapters/codec/jsonsplice.h"
-#include "daemon/configfollower.h"
+#include "daemon/configwatcher.h"
 #include "heapcounter.h"
 #include "platform/configuration.h"
 
@@ -38,8 +38,8 @@
 BOOST_AUTO_TEST_CASE(DecodingPeaksLittleAboveItsResult)
 {
     const auto text = document(1);
-    const auto before = HeapCounter::restartPeak();
-    const auto revision = revisionOf(text, Platform::decodeConfiguration);
+    const auto before = HeapCounter::resetPeak();
+    const auto revision = makeRevision(text, Platform::decodeConfiguration);
     BOOST_REQUIRE(revision.has_value());
     const auto held = HeapCounter::liveBytes - before;
     const auto peak = HeapCounter::peakBytes - before;
@@ -53,7 +53,7 @@
 {
     const auto text = document(1);
     const auto answer = R"({"items":[{"metadata":{"name":"main"},"content":)" + text + R"(}],"more":false})";
-    const auto before = HeapCounter::restartPeak();
+    const auto before = HeapCounter::resetPeak();
     const auto spliced = spliceOut(answer, "content");
     BOOST_REQUIRE(spliced.has_value());
     BOOST_TEST(spliced->parts.front() == text);
--- a/autotests/unit/configrepositorytest.cpp
+++ b/autotests/unit/configrepositorytest.cpp
@@ -22,7 +22,7 @@
     {
         return ConfigRepository({.store = store,
             .inForce = [this] { return inForce; },
-            .highestKnown = [this] { return Revision(highest); },
+            .highestKnownRevision = [this] { return Revision(highest); },
             .now = [] { return std::int64_t(1); }});
     }
 
@@ -181,7 +181,7 @@
     BOOST_REQUIRE(outcome.has_value());
     BOOST_TEST(outcome->revision.value() == 2U);
     apply("3", "services.ini", ServiceText + "; three\n");
-    store.landDelayed();
+    store.applyDelayedWrites();
     BOOST_TEST(repository().readHead()->manifest.revision.value() == 3U);
     BOOST_TEST(repository().readHead()->manifest.files.at(FileName("services.ini")) == contentHash(ServiceText + "; three\n"));
 }
@@ -196,7 +196,7 @@
     BOOST_TEST((first.error().kind == ErrorKind::OutcomeUnknown));
     BOOST_TEST(first.error().message.find("--apply-id=1") != std::string::npos);
     store.delays = nullptr;
-    store.landDelayed();
+    store.applyDelayedWrites();
     BOOST_TEST(apply("1", "services.ini", ServiceText)->revision.value() == 1U);
     BOOST_TEST(repository().readHead()->manifest.changes.size() == 1U);
 }
@@ -314,7 +314,7 @@
     store.delays = [](const std::string &key) { return key == "config/head"; };
     apply("1", "services.ini", ServiceText);
     store.before = [](const std::string &, const std::string &) { return std::optional(Error{ErrorKind::Unavailable, "down"}); };
-    const ApplyRequest retry{.id = ApplyId("1"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .repeated = true};
+    const ApplyRequest retry{.id = ApplyId("1"), .file = FileName("services.ini"), .text = ServiceText, .operatorName = "ana", .isRetry = true};
     const auto outcome = repository().apply(retry);
     BOOST_REQUIRE(!outcome.has_value());
     BOOST_TEST((outcome.error().kind == ErrorKind::OutcomeUnknown));
--- a/autotests/unit/configvalidatortest.cpp
+++ b/autotests/unit/configvalidatortest.cpp
@@ -179,7 +179,7 @@
         text += fmt::format("[route r{0}]\npath = /{0}\nmethods = GET\nservice = venta{0}\nidempotent = no\ntimeout-ms = 1000\n", i);
     }
     const auto errors = errorsOf(Service + text);
-    BOOST_TEST(std::count(errors.begin(), errors.end(), '\n') == static_cast<int>(ConfigLimits::MaxFaults));
+    BOOST_TEST(std::count(errors.begin(), errors.end(), '\n') == static_cast<int>(ConfigLimits::MaxErrors));
     BOOST_TEST(errors.find("and 2950 more errors") != std::string::npos);
 }
 
--- a/autotests/unit/configfollowertest.cpp
+++ b/autotests/unit/configwatchertest.cpp
@@ -1,4 +1,4 @@
-#include "daemon/configfollower.h"
+#include "daemon/configwatcher.h"
 #include "scriptedstore.h"
 
 #include <boost/test/unit_test.hpp>
@@ -25,7 +25,7 @@
 
 struct Fixture
 {
-    ConfigFollower::Options options()
+    ConfigWatcher::Options options()
     {
         return {.context = context,
             .store = store,
@@ -33,17 +33,17 @@
             .name = "main",
             .decode = decodeNumber,
             .log = [this](LogLevel, std::string_view event, const std::vector<LogField> &) { events.emplace_back(event); },
-            .found = [this](const std::shared_ptr<const ConfigRevision> &revision) { found.push_back(revision->revision().value()); },
+            .revisionFound = [this](const std::shared_ptr<const ConfigRevision> &revision) { found.push_back(revision->revision().value()); },
             .storeAnswered = [](Revision) {},
             .storeFailed = [this] { ++failures; },
-            .watches = [this] { return watches; },
+            .shouldWatch = [this] { return watches; },
             .stopping = stopping};
     }
 
     // Runs until the store has got that many calls, however slow the machine.
     void runTo(std::size_t calls)
     {
-        ConfigFollower follower(options());
+        ConfigWatcher follower(options());
         follower.start();
         const auto limit = Clock::now() + std::chrono::seconds(30);
         while (store.calledWith.size() < calls && Clock::now() < limit) {
@@ -69,7 +69,7 @@
 // made meanwhile. The kind has to be listed again.
 BOOST_AUTO_TEST_CASE(ListsAgainAfterALostHistory)
 {
-    store.answers = {set(10, "1"), failure(ErrorKind::NotFound, "gone"), set(20, "5")};
+    store.responses = {set(10, "1"), failure(ErrorKind::NotFound, "gone"), set(20, "5")};
     runTo(4);
     const std::vector<std::string> expected = {"list config", "watch config 10", "list config", "watch config 20"};
     BOOST_TEST(store.calledWith == expected, boost::test_tools::per_element());
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(TakesTheLastOfSeveralChanges)
 {
     DocumentSet changes{{{"main", "2", false}, {"other", "9", false}, {"main", "3", false}}, ObjectVersion(12)};
-    store.answers = {set(10, "1"), changes};
+    store.responses = {set(10, "1"), changes};
     runTo(3);
     BOOST_TEST((found == std::vector<std::uint64_t>{1, 3}));
     BOOST_TEST(store.calledWith.back() == "watch config 12");
@@ -91,7 +91,7 @@
 // document is adopted.
 BOOST_AUTO_TEST_CASE(RejectsAnInvalidDocument)
 {
-    store.answers = {set(10, "1"), set(11, "half"), set(12, "4")};
+    store.responses = {set(10, "1"), set(11, "half"), set(12, "4")};
     runTo(4);
     BOOST_TEST((found == std::vector<std::uint64_t>{1, 4}));
     BOOST_TEST(std::count(events.begin(), events.end(), "stored-revision-invalid") == 1);
@@ -102,8 +102,8 @@
 BOOST_AUTO_TEST_CASE(ReadsOnceIfItDoesNotWatch)
 {
     watches = false;
-    store.answers = {set(10, "1"), set(11, "2")};
-    ConfigFollower follower(options());
+    store.responses = {set(10, "1"), set(11, "2")};
+    ConfigWatcher follower(options());
     follower.start();
     context.run_for(Milliseconds(600));
     BOOST_TEST(store.calledWith.size() == 1U);
@@ -117,8 +117,8 @@
 BOOST_AUTO_TEST_CASE(ResumesFromARecentRead)
 {
     watches = false;
-    store.answers = {set(10, "1"), set(11, "2")};
-    ConfigFollower follower(options());
+    store.responses = {set(10, "1"), set(11, "2")};
+    ConfigWatcher follower(options());
     follower.start();
     context.run_for(Milliseconds(50));
     watches = true;
--- a/autotests/unit/datagramloopstest.cpp
+++ b/autotests/unit/datagramloopstest.cpp
@@ -47,7 +47,7 @@
         options.self = self;
         options.send = [this, from = self.control()](const Endpoint &to, const GossipMessage &message) { inFlight.push_back({from, to, message}); };
         options.changed = [] {};
-        options.revisionHeard = [](const Endpoint &, Revision) {};
+        options.revisionAdvertised = [](const Endpoint &, Revision) {};
         options.revision = [] { return Revision(1); };
         return Membership(options);
     }
--- a/autotests/unit/decoderfuzztest.cpp
+++ b/autotests/unit/decoderfuzztest.cpp
@@ -184,12 +184,12 @@
 {
     RolloutReport report;
     report.records
-        = {{.order = {ServiceName("ventas"), TargetVersion("v2"), Milliseconds(12000), ObjectVersion(5)}, .seen = ObjectVersion(6), .reason = "slow"}};
+        = {{.spec = {ServiceName("ventas"), TargetVersion("v2"), Milliseconds(12000), ObjectVersion(5)}, .storeVersion = ObjectVersion(6), .reason = "slow"}};
     TargetCounts counts{.node = NodeName("vm-1"), .process = 3, .service = ServiceName("ventas"), .version = TargetVersion("v2")};
     counts.routes = {{RouteName("pedidos"), 5, 1, {{7, 4}, {40, 1}}}};
     report.counts = {counts};
     fuzz(encode(report), decodeRolloutReport);
-    BOOST_TEST((decodeRolloutReport(encode(report))->records.front().order.duration == Milliseconds(12000)));
+    BOOST_TEST((decodeRolloutReport(encode(report))->records.front().spec.duration == Milliseconds(12000)));
     BOOST_TEST((decodeRolloutReport(encode(report))->counts.front().routes == counts.routes));
     BOOST_TEST(!decodeRolloutReport(withForgedLength(encode(report), "vm-1")).has_value());
     BOOST_TEST(!isRolloutReport(encode(LoadReport())));
--- a/autotests/unit/bodyoffertest.cpp
+++ b/autotests/unit/expectcontinuetest.cpp
@@ -62,9 +62,9 @@
                 HttpRequest request(http::verb::post, "/upload", 11);
                 request.set(http::field::host, "h");
                 request.body() = body;
-                HttpClient::Companions exchangeOptions;
-                exchangeOptions.askFirst = true;
-                auto response = co_await m_client.exchange(ServerEndpoint, request, Clock::now() + Patience, exchangeOptions);
+                HttpClient::ExchangeOptions exchangeOptions;
+                exchangeOptions.expectContinue = true;
+                auto response = co_await m_client.exchange(ServerEndpoint, request, Clock::now() + TestTimeout, exchangeOptions);
                 promise.set_value(std::move(response));
             },
             asio::detached);
@@ -157,7 +157,7 @@
         const auto begin = Clock::now();
         const auto response = caller.offer(Body);
         server.join();
-        BOOST_TEST((Clock::now() < begin + Patience / 2));
+        BOOST_TEST((Clock::now() < begin + TestTimeout / 2));
         BOOST_TEST(!response.has_value(), "after \"" << part << "\"");
         BOOST_TEST((response || response.error().kind == ErrorKind::OutcomeUnknown));
     }
@@ -169,7 +169,7 @@
 {
     options.peersWaitForContinue = false;
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     const std::string body = hidden + std::string(80000, 'x');
     caller.send("POST /upload HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
--- a/autotests/unit/faultcheckstest.cpp
+++ b/autotests/unit/faultcheckstest.cpp
@@ -34,7 +34,7 @@
     FaultRunRecords records;
     records.begin = Begin;
     records.services = {"ventas", "tablero"};
-    records.live = {0, 1};
+    records.runningNodes = {0, 1};
     records.heads = {{Revision(1), ContentHash("one"), {ApplyId("a")}}, {Revision(2), ContentHash("two"), {ApplyId("a"), ApplyId("b")}}};
     records.applies = {{ApplyId("a"), {}, false, at(10)},
         {ApplyId("b"), {}, false, at(20)},
@@ -61,16 +61,16 @@
     introduceViolation(records);
     const auto violations = check(records);
     BOOST_REQUIRE(!violations.empty());
-    BOOST_TEST(violations.front().promise == guarantee);
-    BOOST_TEST(!checkAllPromises(records).empty());
+    BOOST_TEST(violations.front().guarantee == guarantee);
+    BOOST_TEST(!checkAllGuarantees(records).empty());
 }
 
 }
 
 BOOST_AUTO_TEST_CASE(GoodRunHasNoViolation)
 {
-    const auto violations = checkAllPromises(goodRun());
-    BOOST_TEST(violations.empty(), (violations.empty() ? "" : violations.front().record));
+    const auto violations = checkAllGuarantees(goodRun());
+    BOOST_TEST(violations.empty(), (violations.empty() ? "" : violations.front().description));
 }
 
 BOOST_AUTO_TEST_CASE(FallingRevisionIsCaught)
@@ -102,33 +102,33 @@
 
 BOOST_AUTO_TEST_CASE(IncompleteRevisionIsCaught)
 {
-    expectCaught(checkWholeRevisions, "all-or-nothing", [](FaultRunRecords &records) { records.samples[2].digest = ContentHash("half"); });
+    expectCaught(checkRevisionsComplete, "all-or-nothing", [](FaultRunRecords &records) { records.samples[2].digest = ContentHash("half"); });
 }
 
 BOOST_AUTO_TEST_CASE(MismatchedResponseIsCaught)
 {
-    expectCaught(checkOwnAnswers, "own-answer", [](FaultRunRecords &records) { records.calls[0].outcome = CallOutcome::Crossed; });
+    expectCaught(checkResponsesMatchCalls, "own-answer", [](FaultRunRecords &records) { records.calls[0].outcome = CallOutcome::Mismatched; });
 }
 
 BOOST_AUTO_TEST_CASE(ResponseWithoutExecutionIsCaught)
 {
-    expectCaught(checkOwnAnswers, "own-answer", [](FaultRunRecords &records) { records.ledger.erase(records.ledger.begin()); });
+    expectCaught(checkResponsesMatchCalls, "own-answer", [](FaultRunRecords &records) { records.ledger.erase(records.ledger.begin()); });
 }
 
 BOOST_AUTO_TEST_CASE(RejectedCallThatRanIsCaught)
 {
-    expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.ledger.push_back({"r-1", 0, at(201)}); });
+    expectCaught(checkRejections, "refused-not-run", [](FaultRunRecords &records) { records.ledger.push_back({"r-1", 0, at(201)}); });
 }
 
 BOOST_AUTO_TEST_CASE(RejectedApplyThatTookEffectIsCaught)
 {
-    expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("c"); });
+    expectCaught(checkRejections, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("c"); });
 }
 
 BOOST_AUTO_TEST_CASE(AcceptedInvalidFileIsCaught)
 {
-    expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("d"); });
-    expectCaught(checkRefusals, "refused-not-run", [](FaultRunRecords &records) { records.applies[3].error.reset(); });
+    expectCaught(checkRejections, "refused-not-run", [](FaultRunRecords &records) { records.heads[1].applies.emplace_back("d"); });
+    expectCaught(checkRejections, "refused-not-run", [](FaultRunRecords &records) { records.applies[3].error.reset(); });
 }
 
 BOOST_AUTO_TEST_CASE(NonIdempotentCallRunTwiceIsCaught)
@@ -159,7 +159,7 @@
 
 BOOST_AUTO_TEST_CASE(StopThatDoesNotEndIsCaught)
 {
-    expectCaught(checkPlannedStops, "planned-stop", [](FaultRunRecords &records) { records.faults[1].clean = false; });
+    expectCaught(checkPlannedStops, "planned-stop", [](FaultRunRecords &records) { records.faults[1].exitedCleanly = false; });
 }
 
 // Later changes are based on a store that was restored from an older backup, so that a change which
@@ -177,5 +177,5 @@
         records.samples[3].revision = Revision(1);
         records.samples[3].digest = ContentHash("one");
     });
-    expectCaught(check, "accepted-in-force", [](FaultRunRecords &records) { records.live.push_back(2); });
+    expectCaught(check, "accepted-in-force", [](FaultRunRecords &records) { records.runningNodes.push_back(2); });
 }
--- a/autotests/unit/headwatchertest.cpp
+++ b/autotests/unit/headwatchertest.cpp
@@ -20,7 +20,7 @@
     BudgetedStore budgeted{{.store = store, .budget = {}, .stopping = state->stopping}};
     ConfigRepository repository{{.store = budgeted,
         .inForce = [this] { return state->revisions.current(); },
-        .highestKnown = [] { return Revision(); },
+        .highestKnownRevision = [] { return Revision(); },
         .now = [] { return std::int64_t(1); }}};
     HeadWatcher watcher{{.store = budgeted,
         .repository = repository,
@@ -101,7 +101,7 @@
     }
     store.objects = backup;
     ConfigRepository elsewhere(
-        {.store = store, .inForce = [] { return nullptr; }, .highestKnown = [] { return Revision(); }, .now = [] { return std::int64_t(1); }});
+        {.store = store, .inForce = [] { return nullptr; }, .highestKnownRevision = [] { return Revision(); }, .now = [] { return std::int64_t(1); }});
     const auto other = elsewhere.apply({.id = ApplyId("other"),
         .file = FileName("t.ini"),
         .text = "[service taller]\ndata-centres = rosario-a\nslots = 6\n",
--- a/autotests/unit/httpclienttest.cpp
+++ b/autotests/unit/httpclienttest.cpp
@@ -85,7 +85,7 @@
         client.emplace(context, options);
     }
 
-    Result<HttpResponse> exchange(Milliseconds limit = Patience, Cancellation *cancellation = nullptr)
+    Result<HttpResponse> exchange(Milliseconds limit = TestTimeout, Cancellation *cancellation = nullptr)
     {
         std::optional<Result<HttpResponse>> result;
         asio::co_spawn(context, exchangeInto(limit, cancellation, result), asio::detached);
@@ -100,7 +100,7 @@
     {
         HttpRequest request(http::verb::post, "/orders", 11);
         request.set(http::field::host, "h");
-        HttpClient::Companions exchangeOptions;
+        HttpClient::ExchangeOptions exchangeOptions;
         exchangeOptions.cancellation = cancellation;
         result = co_await client->exchange(ServerEndpoint, request, Clock::now() + limit, exchangeOptions);
     }
@@ -196,7 +196,7 @@
     });
     self = &server;
     BOOST_TEST((kindOf(exchange(Milliseconds(50))) == ErrorKind::OutcomeUnknown));
-    BOOST_TEST((closed.get_future().wait_for(Patience) == std::future_status::ready));
+    BOOST_TEST((closed.get_future().wait_for(TestTimeout) == std::future_status::ready));
     BOOST_TEST(exchange()->body() == "good");
     BOOST_TEST(client->openConnections(ServerEndpoint) == 1U);
 }
@@ -212,16 +212,16 @@
         self->readRequest(socket);
         asio::post(context, [&] { cancellation.cancel(); });
         pollfd closing{socket.native_handle(), POLLIN, 0};
-        const bool seen = ::poll(&closing, 1, static_cast<int>(Patience.count())) == 1 && !self->readRequest(socket);
+        const bool seen = ::poll(&closing, 1, static_cast<int>(TestTimeout.count())) == 1 && !self->readRequest(socket);
         ScriptedServer::send(socket, CompleteResponse);
         closed.set_value(seen);
     });
     self = &server;
-    BOOST_TEST((kindOf(exchange(3 * Patience, &cancellation)) == ErrorKind::OutcomeUnknown));
+    BOOST_TEST((kindOf(exchange(3 * TestTimeout, &cancellation)) == ErrorKind::OutcomeUnknown));
     BOOST_TEST(closed.get_future().get());
     BOOST_TEST(client->openConnections(ServerEndpoint) == 0U);
     // Already cancelled before the exchange begins: nothing is sent.
-    BOOST_TEST((kindOf(exchange(Patience, &cancellation)) == ErrorKind::Unavailable));
+    BOOST_TEST((kindOf(exchange(TestTimeout, &cancellation)) == ErrorKind::Unavailable));
     BOOST_TEST(server.requests == 1);
 }
 
@@ -240,12 +240,12 @@
                               co_return makeResponse(http::status::ok, "text/plain", "good");
                           }});
     client->limitConnections(ServerEndpoint, 3);
-    asio::co_spawn(context, client->warm(ServerEndpoint, 100, Clock::now() + Patience), asio::detached);
+    asio::co_spawn(context, client->warm(ServerEndpoint, 100, Clock::now() + TestTimeout), asio::detached);
     context.run();
     BOOST_TEST(client->openConnections(ServerEndpoint) == 3U);
     std::vector<std::optional<Result<HttpResponse>>> results(10);
     for (auto &result : results) {
-        asio::co_spawn(context, exchangeInto(Patience, nullptr, result), asio::detached);
+        asio::co_spawn(context, exchangeInto(TestTimeout, nullptr, result), asio::detached);
     }
     context.restart();
     context.run();
@@ -254,7 +254,7 @@
         = std::count_if(results.begin(), results.end(), [](const auto &result) { return !*result && result->error().kind == ErrorKind::Unavailable; });
     BOOST_TEST(succeeded == 3);
     BOOST_TEST(unavailable == 7);
-    BOOST_TEST(server.ask([](HttpServer &it) { return it.connections(); }) == 3U);
+    BOOST_TEST(server.invoke([](HttpServer &it) { return it.connections(); }) == 3U);
 }
 
 // A target drops connections that were idle for some hundred milliseconds, and resets them at the next
@@ -268,11 +268,11 @@
         std::optional<Result<HttpResponse>> result;
         HttpRequest request(http::verb::get, "/", 11);
         request.set(http::field::host, "h");
-        HttpClient::Companions exchangeOptions;
+        HttpClient::ExchangeOptions exchangeOptions;
         exchangeOptions.maxIdle = maxIdle;
         asio::co_spawn(
             context,
-            [&]() -> asio::awaitable<void> { result = co_await client->exchange(ServerEndpoint, request, Clock::now() + Patience, exchangeOptions); },
+            [&]() -> asio::awaitable<void> { result = co_await client->exchange(ServerEndpoint, request, Clock::now() + TestTimeout, exchangeOptions); },
             asio::detached);
         context.restart();
         context.run();
@@ -285,6 +285,6 @@
     BOOST_TEST(send(Milliseconds(10)));
     BOOST_TEST(client->openConnections(ServerEndpoint) == 2U);
     std::this_thread::sleep_for(Milliseconds(30));
-    BOOST_TEST(send(HttpClient::Companions().maxIdle));
+    BOOST_TEST(send(HttpClient::ExchangeOptions().maxIdle));
     BOOST_TEST(client->openConnections(ServerEndpoint) == 2U);
 }
--- a/autotests/unit/httpservertest.cpp
+++ b/autotests/unit/httpservertest.cpp
@@ -51,7 +51,7 @@
 // Checks that the server still serves a regular request.
 void checkServes(const Endpoint &endpoint)
 {
-    RawCaller caller(endpoint);
+    RawClient caller(endpoint);
     caller.send(get("/fine"));
     BOOST_TEST(caller.readTo("/fine||h").substr(0, 15) == "HTTP/1.1 200 OK");
 }
@@ -64,7 +64,7 @@
 BOOST_FIXTURE_TEST_CASE(RespondsWhenTheHandlerThrows, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/throw"));
     const auto response = caller.readToEnd();
     BOOST_REQUIRE(response.has_value());
@@ -121,7 +121,7 @@
     for (const auto &shape : shapes) {
         BOOST_TEST_CONTEXT(shape)
         {
-            RawCaller caller(ServerEndpoint);
+            RawClient caller(ServerEndpoint);
             caller.send(shape + get("/hidden"));
             const auto response = caller.readToEnd();
             BOOST_REQUIRE(response.has_value());
@@ -159,7 +159,7 @@
     for (const auto &[bytes, status] : cases) {
         BOOST_TEST_CONTEXT(bytes.substr(0, 80))
         {
-            RawCaller caller(ServerEndpoint);
+            RawClient caller(ServerEndpoint);
             caller.send(bytes);
             const auto response = caller.readToEnd();
             BOOST_REQUIRE(response.has_value());
@@ -179,7 +179,7 @@
     options.limits.headerTimeout = Milliseconds(200);
     RunningServer server(options);
     for (const std::string start : {"GET /a HTTP/1.1\r\nX: ", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n"}) {
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         caller.send(start);
         std::atomic<bool> stop = false;
         std::thread trickle([&] {
@@ -192,7 +192,7 @@
         trickle.join();
         BOOST_TEST(statusOf(response) == 408);
     }
-    RawCaller reader(ServerEndpoint);
+    RawClient reader(ServerEndpoint);
     reader.send(get("/large"));
     reader.readTo("200 OK");
     BOOST_TEST(server.waitUntil([](HttpServer &it) { return it.requestsInFlight() == 0 && it.connections() == 0; }));
@@ -202,7 +202,7 @@
 BOOST_FIXTURE_TEST_CASE(RespondsToPipelinedRequestsInOrder, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     std::string requests;
     for (int i = 0; i < 500; ++i) {
         requests += get("/" + std::to_string(i));
@@ -221,7 +221,7 @@
 BOOST_FIXTURE_TEST_CASE(FollowsTheProtocol, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
     BOOST_TEST(caller.readTo("\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
     caller.send("abc");
@@ -249,16 +249,16 @@
 {
     options.maxConnections = 8;
     RunningServer server(options);
-    RawCaller waiting(ServerEndpoint);
+    RawClient waiting(ServerEndpoint);
     waiting.send(get("/wait"));
     BOOST_TEST(server.waitUntil([](HttpServer &it) { return it.requestsInFlight() == 1; }));
-    std::vector<std::unique_ptr<RawCaller>> silent;
+    std::vector<std::unique_ptr<RawClient>> silent;
     for (int i = 0; i < 100; ++i) {
-        silent.push_back(std::make_unique<RawCaller>(ServerEndpoint));
+        silent.push_back(std::make_unique<RawClient>(ServerEndpoint));
         silent.back()->send(i % 2 == 0 ? "" : "GET /");
     }
     checkServes(ServerEndpoint);
-    BOOST_TEST(server.ask([](HttpServer &it) { return it.connections(); }) <= 8U);
+    BOOST_TEST(server.invoke([](HttpServer &it) { return it.connections(); }) <= 8U);
     release = true;
     BOOST_TEST(!waiting.readTo("/wait||h").empty());
 }
@@ -270,7 +270,7 @@
 {
     RunningServer server(options);
     for (int requests = 1; requests <= 3; ++requests) {
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         for (int i = 0; i < requests; ++i) {
             caller.send(get("/wait"));
         }
@@ -291,24 +291,24 @@
     const auto withField
         = [](std::size_t bytes) { return "POST /fine HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nX-Long: " + std::string(bytes, 'x') + "\r\n\r\nb"; };
     const auto statusFor = [&](std::size_t bytes) {
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         caller.send(withField(bytes));
         return statusOf(caller.readTo("\r\n\r\n"));
     };
     BOOST_TEST(statusFor(20'000) == 431);
-    server.ask([](HttpServer &it) {
-        it.limitPeers({.headerBytes = 32 * 1024, .bodyBytes = 1024, .headerTimeout = Milliseconds(100), .idleTimeout = Milliseconds(100)});
+    server.invoke([](HttpServer &it) {
+        it.setLimits({.headerBytes = 32 * 1024, .bodyBytes = 1024, .headerTimeout = Milliseconds(100), .idleTimeout = Milliseconds(100)});
         return 0;
     });
     BOOST_TEST(statusFor(20'000) == 200);
     BOOST_TEST(statusFor(40'000) == 431);
-    RawCaller large(ServerEndpoint);
+    RawClient large(ServerEndpoint);
     large.send("POST /fine HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n");
     BOOST_TEST(statusOf(large.readTo("\r\n\r\n")) == 413);
-    RawCaller slow(ServerEndpoint);
+    RawClient slow(ServerEndpoint);
     slow.send("GET /fine HT");
     BOOST_TEST(statusOf(slow.readToEnd().value_or("")) == 408);
-    RawCaller idle(ServerEndpoint);
+    RawClient idle(ServerEndpoint);
     idle.send(get("/fine"));
     BOOST_TEST(idle.readToEnd().has_value());
     BOOST_TEST(handled == 2);
--- a/autotests/unit/repeatbudgettest.cpp
+++ b/autotests/unit/ingressretrybudgettest.cpp
@@ -21,7 +21,7 @@
     asio::executor_work_guard<asio::io_context::executor_type> guard = asio::make_work_guard(context);
     HttpClient client{context, {}};
     std::atomic<int> runs = 0;
-    CallDialect headerNames;
+    CallHeaderNames headerNames;
     std::unique_ptr<Ingress> ingress;
     HttpServer ingressServer{context, {.endpoint = IngressEndpoint, .handler = [this](HttpRequest request, ServerConnection &connection) {
                                            return ingress->handle(std::move(request), connection);
@@ -37,13 +37,13 @@
         ingress = std::make_unique<Ingress>(Ingress::Options{.client = client,
             .node = NodeName("n"),
             .dataCentre = DataCentre("rosario-a"),
-            .dialect = headerNames,
-            .retries = {.perCall = 0, .most = 1},
+            .headerNames = headerNames,
+            .retryBudget = {.tokensPerCall = 0, .maxTokens = 1},
             .runningCall =
                 [](std::string_view) {
                     return std::optional(RunningCall{RouteName("cola"), 0, true});
                 },
-            .callEnded = [](const RouteDefinition &, CallEnd, std::chrono::microseconds) {}});
+            .callEnded = [](const RouteDefinition &, CallResult, std::chrono::microseconds) {}});
         for (const auto &endpoint : Sidecars) {
             sidecars.push_back(std::make_unique<HttpServer>(context,
                 HttpServer::Options{.endpoint = endpoint, .handler = [this](HttpRequest request, ServerConnection &) { return serve(std::move(request)); }}));
@@ -92,7 +92,7 @@
     int runsOf(const std::string &path, const std::string &id)
     {
         runs = 0;
-        RawCaller caller(IngressEndpoint);
+        RawClient caller(IngressEndpoint);
         caller.send("GET " + path + " HTTP/1.1\r\nHost: h\r\nX-Id: " + id + "\r\nConnection: close\r\n\r\n");
         BOOST_REQUIRE(caller.readToEnd().has_value());
         return runs;
@@ -121,7 +121,7 @@
 
 BOOST_AUTO_TEST_CASE(SidecarLearnsWhetherACallIsARetry)
 {
-    const CallTerms terms{.priority = 1, .mayWait = false, .repeat = true};
+    const CallTerms terms{.priority = 1, .mayWait = false, .isRetry = true};
     HttpRequest request;
     request.set(CallHeaders::Terms, formatTerms(terms));
     BOOST_TEST((termsHeader(request) == terms));
--- a/autotests/unit/lateofferstest.cpp
+++ b/autotests/unit/latecallfiltertest.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/lateoffers.h"
+#include "core/calls/latecallfilter.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,7 +9,7 @@
 // so it attracts calls and makes all of them late, although a peer would have met their objective.
 BOOST_AUTO_TEST_CASE(ASlowTargetGetsOnlyProbes)
 {
-    LateOffers filter({});
+    LateCallFilter filter({});
     constexpr Milliseconds Objective{500};
     constexpr Milliseconds SlowTime{1900};
     constexpr Milliseconds BetweenCalls{50};
@@ -17,7 +17,7 @@
     auto now = TimePoint() + std::chrono::hours(1);
     const auto end = now + std::chrono::seconds(6);
     for (; now < end; now += BetweenCalls) {
-        accepted += filter.turnsAway(now, now + SlowTime, now + Objective) ? 0 : 1;
+        accepted += filter.shouldReject(now, now + SlowTime, now + Objective) ? 0 : 1;
     }
     // Two per second are accepted, of twenty that are offered.
     BOOST_TEST(accepted == 12);
@@ -26,21 +26,21 @@
 // A target that is fast enough accepts all calls, also right after it was slow.
 BOOST_AUTO_TEST_CASE(AcceptsCallsThatMeetTheirObjective)
 {
-    LateOffers filter({});
+    LateCallFilter filter({});
     const auto now = TimePoint() + std::chrono::hours(1);
-    filter.turnsAway(now, now + Milliseconds(900), now + Milliseconds(500));
+    filter.shouldReject(now, now + Milliseconds(900), now + Milliseconds(500));
     for (int call = 0; call < 100; ++call) {
-        BOOST_TEST(!filter.turnsAway(now, now + Milliseconds(300), now + Milliseconds(500)));
+        BOOST_TEST(!filter.shouldReject(now, now + Milliseconds(300), now + Milliseconds(500)));
     }
-    BOOST_TEST(filter.turnsAway(now, now + Milliseconds(900), now + Milliseconds(500)));
+    BOOST_TEST(filter.shouldReject(now, now + Milliseconds(900), now + Milliseconds(500)));
 }
 
 // A call without an objective is never late.
 BOOST_AUTO_TEST_CASE(AcceptsCallsWithoutObjective)
 {
-    LateOffers filter({});
+    LateCallFilter filter({});
     const auto now = TimePoint() + std::chrono::hours(1);
     for (int call = 0; call < 100; ++call) {
-        BOOST_TEST(!filter.turnsAway(now, now + std::chrono::hours(1), TimePoint::max()));
+        BOOST_TEST(!filter.shouldReject(now, now + std::chrono::hours(1), TimePoint::max()));
     }
 }
--- a/autotests/unit/linkscheduletest.cpp
+++ b/autotests/unit/linkscheduletest.cpp
@@ -11,12 +11,12 @@
 // A link of 7 Mbit/s, all of it for bodies.
 LinkSchedule::Options slowLink()
 {
-    return {.bytesPerSecond = 875000, .transfers = 2, .share = 1};
+    return {.bytesPerSecond = 875000, .maxTransfers = 2, .bodyFraction = 1};
 }
 
 Milliseconds untilArrival(const LinkSchedule &schedule, TimePoint now)
 {
-    return std::chrono::duration_cast<Milliseconds>(schedule.arrival(BodyBytes, now) - now);
+    return std::chrono::duration_cast<Milliseconds>(schedule.expectedArrival(BodyBytes, now) - now);
 }
 
 }
@@ -29,12 +29,12 @@
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
     BOOST_TEST(untilArrival(schedule, now).count() == 68);
-    schedule.begin(BodyBytes, now);
-    BOOST_TEST(schedule.free());
-    schedule.begin(BodyBytes, now);
-    BOOST_TEST(!schedule.free());
+    schedule.beginTransfer(BodyBytes, now);
+    BOOST_TEST(schedule.canBegin());
+    schedule.beginTransfer(BodyBytes, now);
+    BOOST_TEST(!schedule.canBegin());
     for (int i = 0; i < 5; ++i) {
-        schedule.wait(BodyBytes);
+        schedule.addWaiting(BodyBytes);
     }
     BOOST_TEST(untilArrival(schedule, now).count() == 548);
 }
@@ -44,12 +44,12 @@
 {
     const TimePoint begin(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
-    schedule.begin(BodyBytes, begin);
-    schedule.begin(BodyBytes, begin);
+    schedule.beginTransfer(BodyBytes, begin);
+    schedule.beginTransfer(BodyBytes, begin);
     BOOST_TEST(untilArrival(schedule, begin + Milliseconds(100)).count() == 105);
-    schedule.end(begin + Milliseconds(70));
-    BOOST_TEST(schedule.free());
-    schedule.end(begin + Milliseconds(120));
+    schedule.endTransfer(begin + Milliseconds(70));
+    BOOST_TEST(schedule.canBegin());
+    schedule.endTransfer(begin + Milliseconds(120));
     BOOST_TEST(untilArrival(schedule, begin + Milliseconds(120)).count() == 68);
 }
 
@@ -59,10 +59,10 @@
 {
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule(slowLink());
-    schedule.begin(100 * BodyBytes, now);
-    schedule.wait(BodyBytes);
-    schedule.waitEnded(BodyBytes);
-    schedule.end(now + Milliseconds(50));
+    schedule.beginTransfer(100 * BodyBytes, now);
+    schedule.addWaiting(BodyBytes);
+    schedule.removeWaiting(BodyBytes);
+    schedule.endTransfer(now + Milliseconds(50));
     BOOST_TEST(untilArrival(schedule, now + Milliseconds(50)).count() == 68);
 }
 
@@ -72,8 +72,8 @@
     const TimePoint now(std::chrono::seconds(1));
     LinkSchedule schedule({});
     for (int i = 0; i < 40; ++i) {
-        BOOST_TEST(schedule.free());
-        schedule.begin(BodyBytes, now);
+        BOOST_TEST(schedule.canBegin());
+        schedule.beginTransfer(BodyBytes, now);
     }
     BOOST_TEST(untilArrival(schedule, now).count() == 0);
 }
--- a/autotests/unit/loadexchangetest.cpp
+++ b/autotests/unit/loadexchangetest.cpp
@@ -26,7 +26,7 @@
     struct Node
     {
         MemberRecord record;
-        OwnLoad own;
+        LocalTargetLoad own;
         std::unique_ptr<LoadExchange> exchange;
         std::map<std::string, TargetLoad> targets;
         std::map<std::string, PoolReport> pools;
@@ -52,14 +52,14 @@
         node.exchange = std::make_unique<LoadExchange>(LoadExchange::Options{.self = node.record,
             .seed = index + 1,
             .interval = interval,
-            .ownLoad = [&node] { return node.own; },
+            .localTargetLoad = [&node] { return node.own; },
             .send =
                 [this, &node](const Endpoint &to, const LoadReport &report) {
                     ++node.sent;
                     deliver(node.record.control(), to, report);
                 },
-            .targetLoad = [&node](const NodeName &name, TargetLoad load, Milliseconds, TimePoint) { node.targets[name.value()] = load; },
-            .poolLoad = [&node](const PoolReport &pool, TimePoint) { node.pools[pool.dataCentre.value() + " " + pool.service.value()] = pool; }});
+            .targetLoadReceived = [&node](const NodeName &name, TargetLoad load, Milliseconds, TimePoint) { node.targets[name.value()] = load; },
+            .poolLoadReceived = [&node](const PoolReport &pool, TimePoint) { node.pools[pool.dataCentre.value() + " " + pool.service.value()] = pool; }});
         node.exchange->setMembers(records);
     }
 
@@ -98,7 +98,7 @@
     fleet.run(Milliseconds(1000));
     for (const auto &node : fleet.nodes) {
         BOOST_TEST(node.exchange->knownTargets() == 49U);
-        BOOST_TEST(node.exchange->oldestTarget(fleet.now).count() <= 1000);
+        BOOST_TEST(node.exchange->oldestTargetAge(fleet.now).count() <= 1000);
         BOOST_TEST((&node == &fleet.nodes[0] || node.targets.at("vm-0-0").calls == 6U));
         // Two reports every 100 ms, whatever the size of the data centre.
         BOOST_TEST(node.sent <= 40U);
--- a/autotests/unit/memberdirectorytest.cpp
+++ b/autotests/unit/memberdirectorytest.cpp
@@ -40,16 +40,16 @@
             .self = record("b"),
             .firstStart = firstStart,
             .log = [this](LogLevel, std::string_view event, const std::vector<LogField> &) { events.emplace_back(event); },
-            .listed =
+            .storedMembersReceived =
                 [this](const std::vector<MemberRecord> &members) {
                     for (const auto &member : members) {
                         others.push_back(member.control());
                     }
                 },
-            .found = [](const std::vector<MemberRecord> &) {},
-            .others = [this] { return others; },
-            .known = [](const NodeName &member) { return member == NodeName("a"); },
-            .sweeps = [this] { return sweeps; },
+            .membersReceived = [](const std::vector<MemberRecord> &) {},
+            .peerAddresses = [this] { return others; },
+            .isKnown = [](const NodeName &member) { return member == NodeName("a"); },
+            .shouldSweep = [this] { return sweeps; },
             .sweepInterval = Milliseconds(50),
             .stopping = stopping});
         directory.start();
@@ -58,7 +58,7 @@
             context.run_for(Milliseconds(10));
         }
         context.run_for(afterwards);
-        consulted = directory.consulted();
+        consulted = directory.initialLookupDone();
         stopping = true;
     }
 
@@ -81,7 +81,7 @@
 // must need only one write and one list.
 BOOST_AUTO_TEST_CASE(WritesAndReadsOnce)
 {
-    store.answers = {contactsOf({"a", "b"}), contactsOf({"a", "b"})};
+    store.responses = {contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     run(2, Milliseconds(1000));
     const std::vector<std::string> expected = {"put contacts b", "list contacts"};
     BOOST_TEST(store.calledWith == expected, boost::test_tools::per_element());
@@ -93,10 +93,10 @@
 // contacts listed once more after it.
 BOOST_AUTO_TEST_CASE(ListsAgainAfterALateWrite)
 {
-    store.putAnswer = failure(ErrorKind::Unavailable, "the store is out");
-    store.answers = {contactsOf({"a"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
+    store.putResponse = failure(ErrorKind::Unavailable, "the store is out");
+    store.responses = {contactsOf({"a"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     asio::steady_timer timer(context, Milliseconds(100));
-    timer.async_wait([this](const ErrorCode &) { store.putAnswer = Result<void>(); });
+    timer.async_wait([this](const ErrorCode &) { store.putResponse = Result<void>(); });
     run(4, Milliseconds(1000));
     const std::vector<std::string> expected = {"put contacts b", "list contacts", "put contacts b", "list contacts"};
     BOOST_TEST(store.calledWith == expected, boost::test_tools::per_element());
@@ -106,7 +106,7 @@
 // since the next node may be unable to reach the store.
 BOOST_AUTO_TEST_CASE(ALoneNodeKeepsListing)
 {
-    store.answers = {contactsOf({"b"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
+    store.responses = {contactsOf({"b"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     run(3, Milliseconds(50));
     BOOST_TEST(std::count(store.calledWith.begin(), store.calledWith.end(), "list contacts") == 2);
     BOOST_TEST(others.size() == 1U);
@@ -118,7 +118,7 @@
 BOOST_AUTO_TEST_CASE(RemovesStaleContacts)
 {
     sweeps = true;
-    store.answers = {contactsOf({"a", "b"}), contactsOf({"a", "b", "lost"})};
+    store.responses = {contactsOf({"a", "b"}), contactsOf({"a", "b", "lost"})};
     run(4, Milliseconds(10));
     const std::vector<std::string> expected = {"put contacts b", "list contacts", "list contacts", "remove contacts lost"};
     BOOST_REQUIRE(store.calledWith.size() >= 4U);
@@ -129,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(ARestartedNodeFindsItsContact)
 {
     firstStart = false;
-    store.answers = {contactsOf({"a", "b"})};
+    store.responses = {contactsOf({"a", "b"})};
     run(1, Milliseconds(300));
     BOOST_TEST(store.calledWith == std::vector<std::string>({"list contacts"}), boost::test_tools::per_element());
 }
@@ -138,7 +138,7 @@
 BOOST_AUTO_TEST_CASE(ARestartedNodeWithoutAContactWritesOne)
 {
     firstStart = false;
-    store.answers = {contactsOf({"a"})};
+    store.responses = {contactsOf({"a"})};
     run(2, Milliseconds(300));
     BOOST_TEST(store.calledWith == std::vector<std::string>({"list contacts", "put contacts b"}), boost::test_tools::per_element());
 }
--- a/autotests/unit/membershipcosttest.cpp
+++ b/autotests/unit/membershipcosttest.cpp
@@ -1,4 +1,4 @@
-#include "memberships.h"
+#include "membershipnetwork.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_CASE(IdleMemberSendsTwoDatagramsPerProbeInterval)
 {
-    Memberships fleet(50);
+    MembershipNetwork fleet(50);
     fleet.run(Milliseconds(20000));
     fleet.datagrams = 0;
     std::size_t records = 0;
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(RevisionCostsAtMostNineDatagramsPerMember)
 {
-    Memberships fleet(200);
+    MembershipNetwork fleet(200);
     fleet.run(Milliseconds(20000));
     fleet.datagrams = 0;
     fleet.revisions[17] = Revision(2);
@@ -39,7 +39,7 @@
 {
     constexpr std::size_t DataCentres = 6;
     std::size_t started = 0;
-    Memberships fleet(300, [&](Membership::Options &options) { options.self.dataCentre = DataCentre("dc-" + std::to_string(started++ % DataCentres)); });
+    MembershipNetwork fleet(300, [&](Membership::Options &options) { options.self.dataCentre = DataCentre("dc-" + std::to_string(started++ % DataCentres)); });
     fleet.run(Milliseconds(20000));
     std::size_t records = 0;
     std::size_t crossed = 0;
@@ -60,7 +60,7 @@
 // name order.
 BOOST_AUTO_TEST_CASE(SuccessorsReachMissedMembers)
 {
-    Memberships fleet(30, [](Membership::Options &options) {
+    MembershipNetwork fleet(30, [](Membership::Options &options) {
         options.fanOut = 1;
         options.revisionRounds = 1;
         options.probeInterval = Milliseconds(3600000);
@@ -74,7 +74,7 @@
 
 BOOST_AUTO_TEST_CASE(RevisionTakesThreeRoundsAt200)
 {
-    Memberships fleet(200);
+    MembershipNetwork fleet(200);
     // Lets the updates of the start run out, whose datagrams would carry the revision as well.
     fleet.run(Milliseconds(20000));
     for (std::uint64_t number = 2; number < 12; ++number) {
@@ -89,7 +89,7 @@
 // One datagram in twenty is lost, for ten revisions in a row.
 BOOST_AUTO_TEST_CASE(RevisionIsEverywhereWithinThreeSecondsWithLoss)
 {
-    Memberships fleet(200);
+    MembershipNetwork fleet(200);
     fleet.run(Milliseconds(5000));
     fleet.lossRatio = 0.05;
     for (std::uint64_t number = 2; number < 12; ++number) {
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_CASE(StateChangeCostsAtMostTwentyRecordsPerMember)
 {
-    Memberships fleet(100);
+    MembershipNetwork fleet(100);
     fleet.run(Milliseconds(20000));
     std::size_t records = 0;
     fleet.sent = [&](const GossipMessage &message) { records += message.updates.size(); };
@@ -117,7 +117,7 @@
 BOOST_AUTO_TEST_CASE(RestartedFleetPassesOnNoMemberLists)
 {
     constexpr std::size_t Members = 60;
-    Memberships fleet(Members);
+    MembershipNetwork fleet(Members);
     std::size_t records = 0;
     fleet.sent = [&](const GossipMessage &message) { records += message.updates.size(); };
     fleet.run(Milliseconds(20000));
--- a/autotests/unit/membershipfaulttest.cpp
+++ b/autotests/unit/membershipfaulttest.cpp
@@ -1,4 +1,4 @@
-#include "memberships.h"
+#include "membershipnetwork.h"
 
 #include "core/calls/routingview.h"
 #include "core/config/configbundle.h"
@@ -19,7 +19,7 @@
 BOOST_AUTO_TEST_CASE(PacketLossDoesNotRemoveLiveMembers)
 {
     for (const double loss : {0.05, 0.3}) {
-        Memberships fleet(30);
+        MembershipNetwork fleet(30);
         fleet.run(Settle);
         fleet.lossRatio = loss;
         std::size_t removed = 0;
@@ -37,9 +37,9 @@
 // would be sent to a draining target, or a restarted target would get none.
 BOOST_AUTO_TEST_CASE(DuplicatedAndReorderedDatagramsDoNotRevertState)
 {
-    Memberships fleet(30);
+    MembershipNetwork fleet(30);
     fleet.run(Settle);
-    fleet.crossing = true;
+    fleet.reordering = true;
     fleet.duplicateRatio = 0.5;
     fleet.members[4]->setState(MemberState::Starting, fleet.now);
     fleet.members[4]->setState(MemberState::Ready, fleet.now);
@@ -56,7 +56,7 @@
 // fleets that route calls to their own targets only.
 BOOST_AUTO_TEST_CASE(OneMemberThatKnowsBothGroupsMergesThem)
 {
-    Memberships fleet(20);
+    MembershipNetwork fleet(20);
     fleet.run(Settle);
     for (std::size_t i = 0; i < 20; ++i) {
         fleet.start(i);
@@ -79,15 +79,15 @@
 // unavailable. Unless members that are gone are probed as well, the halves stay apart for good.
 BOOST_AUTO_TEST_CASE(LongPartitionHealsWithoutTheStore)
 {
-    Memberships fleet(20);
+    MembershipNetwork fleet(20);
     fleet.run(Settle);
     fleet.connected = [](std::size_t from, std::size_t to) { return (from < 10) == (to < 10); };
     fleet.run(10 * Minute);
     BOOST_TEST((fleet.stateSeenBy(0, 15) == MemberState::Gone));
     BOOST_TEST((fleet.stateSeenBy(15, 0) == MemberState::Gone));
     fleet.connected = [](std::size_t, std::size_t) { return true; };
-    const auto time = fleet.runUntil([&] { return fleet.whole(); }, 5 * Minute);
-    BOOST_TEST(fleet.whole());
+    const auto time = fleet.runUntil([&] { return fleet.allReady(); }, 5 * Minute);
+    BOOST_TEST(fleet.allReady());
     BOOST_TEST_MESSAGE("healed after " << time.count() << " ms");
 }
 
@@ -95,22 +95,22 @@
 // declared them gone, its own callers would find no target although all run.
 BOOST_AUTO_TEST_CASE(IsolatedNodeKeepsOtherMembers)
 {
-    Memberships fleet(20);
+    MembershipNetwork fleet(20);
     fleet.run(Settle);
     fleet.connected = [](std::size_t from, std::size_t to) { return from != 3 && to != 3; };
     fleet.run(10 * Minute);
     BOOST_TEST(fleet.members[3]->live().size() == 20U);
     BOOST_TEST(fleet.members[3]->isolated(fleet.now));
     fleet.connected = [](std::size_t, std::size_t) { return true; };
-    fleet.runUntil([&] { return fleet.whole(); }, Minute);
-    BOOST_TEST(fleet.whole());
+    fleet.runUntil([&] { return fleet.allReady(); }, Minute);
+    BOOST_TEST(fleet.allReady());
 }
 
 // A node is paused for a minute (SIGSTOP, a stalled VM) and resumes with all its timers expired. It
 // must not declare anybody gone in its first tick.
 BOOST_AUTO_TEST_CASE(ResumedNodeDeclaresNobodyGone)
 {
-    Memberships fleet(20);
+    MembershipNetwork fleet(20);
     fleet.run(Settle);
     // Shortly before the pause, three members became suspect because their Acks were late.
     auto suspects = fleet.recordsOf(20);
@@ -123,8 +123,8 @@
     fleet.stopped.clear();
     fleet.members[3]->tick(fleet.now);
     BOOST_TEST(fleet.members[3]->live().size() == 20U);
-    fleet.runUntil([&] { return fleet.whole(); }, Minute);
-    BOOST_TEST(fleet.whole());
+    fleet.runUntil([&] { return fleet.allReady(); }, Minute);
+    BOOST_TEST(fleet.allReady());
 }
 
 // A node restarts on a VM whose clock is an hour behind, so that its incarnation is below the known
@@ -132,22 +132,22 @@
 // target gets no calls.
 BOOST_AUTO_TEST_CASE(RestartWithClockBehindIsAccepted)
 {
-    Memberships fleet(20);
+    MembershipNetwork fleet(20);
     fleet.run(Settle);
     fleet.members[3]->setState(MemberState::Left, fleet.now);
     fleet.run(Milliseconds(3000));
     fleet.incarnations[3] = 5;
     fleet.start(3);
     fleet.members[3]->merge(fleet.recordsOf(2), fleet.now);
-    fleet.runUntil([&] { return fleet.whole(); }, Minute);
-    BOOST_TEST(fleet.whole());
+    fleet.runUntil([&] { return fleet.allReady(); }, Minute);
+    BOOST_TEST(fleet.allReady());
 }
 
 // A target drains in a fleet of 200 while one datagram in twenty is lost. All members must know
 // within 3 s, or new calls are sent to a target that is leaving.
 BOOST_AUTO_TEST_CASE(DrainingIsKnownEverywhereWithinThreeSecondsAt200)
 {
-    Memberships fleet(200);
+    MembershipNetwork fleet(200);
     fleet.run(Settle);
     fleet.lossRatio = 0.05;
     fleet.members[7]->setState(MemberState::Draining, fleet.now);
@@ -159,7 +159,7 @@
 // node live again, or calls are sent to it while it stops.
 BOOST_AUTO_TEST_CASE(StateChangeAfterLeavingIsIgnored)
 {
-    Memberships fleet(10);
+    MembershipNetwork fleet(10);
     fleet.run(Settle);
     fleet.members[3]->setState(MemberState::Left, fleet.now);
     fleet.members[3]->setState(MemberState::Ready, fleet.now);
@@ -171,7 +171,7 @@
 // add it again.
 BOOST_AUTO_TEST_CASE(PurgedMemberIsNotAddedAgain)
 {
-    Memberships fleet(10);
+    MembershipNetwork fleet(10);
     fleet.run(Settle);
     fleet.members[3]->setState(MemberState::Left, fleet.now);
     const auto left = fleet.members[3]->self();
@@ -190,7 +190,7 @@
 // incarnation. If it were accepted, the member could never refute it.
 BOOST_AUTO_TEST_CASE(ImplausibleRecordsAreRefused)
 {
-    Memberships fleet(10);
+    MembershipNetwork fleet(10);
     fleet.run(Settle);
     auto forged = fleet.members[3]->self();
     forged.incarnation = UINT64_MAX;
@@ -198,10 +198,10 @@
     fleet.members[0]->merge({forged}, fleet.now);
     fleet.members[3]->merge({forged}, fleet.now);
     fleet.run(Milliseconds(10000));
-    BOOST_TEST(fleet.whole());
+    BOOST_TEST(fleet.allReady());
     forged.incarnation = 1;
     forged.state = static_cast<MemberState>(77);
-    BOOST_TEST(!isPlausible(forged));
+    BOOST_TEST(!isValidRecord(forged));
 }
 
 // All targets of a service are declared gone at once, as when a switch fails. A routing view
@@ -215,7 +215,7 @@
     BOOST_REQUIRE(snapshot.has_value());
     auto config = std::make_shared<ConfigRevision>();
     config->snapshot = *snapshot;
-    Memberships fleet(4);
+    MembershipNetwork fleet(4);
     auto records = fleet.recordsOf(4);
     for (auto &record : records) {
         record.state = MemberState::Gone;
@@ -233,7 +233,7 @@
 // until the store is back, and a rolling restart disables one target after the other.
 BOOST_AUTO_TEST_CASE(RestartedMemberIsFoundWithoutTheStore)
 {
-    Memberships fleet(12, [](Membership::Options &options) { options.reviveInterval = Milliseconds(1000); });
+    MembershipNetwork fleet(12, [](Membership::Options &options) { options.reconnectInterval = Milliseconds(1000); });
     fleet.run(Settle);
     fleet.members[4]->setState(MemberState::Left, fleet.now);
     fleet.run(Milliseconds(1000));
@@ -242,7 +242,7 @@
     fleet.incarnations[4] += 100;
     fleet.start(4);
     fleet.stopped.erase(4);
-    const auto time = fleet.runUntil([&] { return fleet.whole(); }, Minute);
+    const auto time = fleet.runUntil([&] { return fleet.allReady(); }, Minute);
     BOOST_TEST_MESSAGE("the restarted member is known after ms: " << time.count());
     BOOST_TEST(time < Milliseconds(5000));
 }
@@ -252,17 +252,17 @@
 // nobody answers, so that it watches the store itself.
 BOOST_AUTO_TEST_CASE(LoneSurvivorDetectsSoonThatNobodyAnswers)
 {
-    Memberships fleet(12);
+    MembershipNetwork fleet(12);
     fleet.run(Settle);
-    BOOST_TEST(!fleet.members[3]->unanswered());
+    BOOST_TEST(!fleet.members[3]->lastProbeUnanswered());
     for (std::size_t i = 0; i < 12; ++i) {
         if (i != 3) {
             fleet.stopped.insert(i);
         }
     }
-    const auto time = fleet.runUntil([&] { return fleet.members[3]->unanswered(); }, Minute);
+    const auto time = fleet.runUntil([&] { return fleet.members[3]->lastProbeUnanswered(); }, Minute);
     BOOST_TEST(time <= Milliseconds(1400));
     fleet.stopped.erase(5);
-    fleet.runUntil([&] { return !fleet.members[3]->unanswered(); }, Minute);
-    BOOST_TEST(!fleet.members[3]->unanswered());
+    fleet.runUntil([&] { return !fleet.members[3]->lastProbeUnanswered(); }, Minute);
+    BOOST_TEST(!fleet.members[3]->lastProbeUnanswered());
 }
--- a/autotests/unit/membershiptest.cpp
+++ b/autotests/unit/membershiptest.cpp
@@ -24,7 +24,7 @@
             options.send = [this, i](const Endpoint &to, const GossipMessage &message) { m_inFlight.push_back({i, to, message}); };
             options.changed = [] {};
             options.revision = [] { return Revision(1); };
-            options.revisionHeard = [](const Endpoint &, Revision) {};
+            options.revisionAdvertised = [](const Endpoint &, Revision) {};
             members.push_back(std::make_unique<Membership>(std::move(options)));
         }
         for (auto &member : members) {
--- a/autotests/unit/requestlinetest.cpp
+++ b/autotests/unit/pipeliningtest.cpp
@@ -19,7 +19,7 @@
     std::atomic<bool> release = false;
     HttpServer::Options options{.endpoint = ServerEndpoint,
         .handler = [this](HttpRequest request, ServerConnection &connection) { return handle(std::move(request), connection); },
-        .mayRunAhead = [](const HttpRequest &request) { return request.method() == http::verb::get; }};
+        .mayPipeline = [](const HttpRequest &request) { return request.method() == http::verb::get; }};
 
     asio::awaitable<HttpResponse> handle(HttpRequest request, ServerConnection &connection)
     {
@@ -41,7 +41,7 @@
 
     bool waitForBegun(int count)
     {
-        const auto end = Clock::now() + Patience;
+        const auto end = Clock::now() + TestTimeout;
         while (begun < count && Clock::now() < end) {
             std::this_thread::sleep_for(Milliseconds(2));
         }
@@ -74,7 +74,7 @@
 BOOST_FIXTURE_TEST_CASE(RunsPipelinedRequestsAndRespondsInOrder, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1") + get("/2") + get("/3"));
     BOOST_TEST(waitForBegun(3));
     release = true;
@@ -83,14 +83,14 @@
     BOOST_TEST(!caller.readTo("<GET /3 >").empty());
     caller.send(get("/4"));
     BOOST_TEST(!caller.readTo("<GET /4 >").empty());
-    BOOST_TEST(server.ask([](HttpServer &it) { return it.requestsInFlight(); }) == 0U);
+    BOOST_TEST(server.invoke([](HttpServer &it) { return it.requestsInFlight(); }) == 0U);
 }
 
 // Further requests arrive one by one while the first is being handled.
 BOOST_FIXTURE_TEST_CASE(ReadsRequestsThatArriveLater, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1"));
     BOOST_TEST(waitForBegun(1));
     caller.send(get("/held/2"));
@@ -109,7 +109,7 @@
 BOOST_FIXTURE_TEST_CASE(NonIdempotentRequestWaitsForEarlierResponses, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1") + post("/order", "one") + get("/2"));
     BOOST_TEST(waitForBegun(1));
     std::this_thread::sleep_for(ObservationTime);
@@ -125,7 +125,7 @@
 BOOST_FIXTURE_TEST_CASE(RespondsBeforeAMalformedRequest, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1") + "NO REQUEST\r\n\r\n" + get("/3"));
     BOOST_TEST(waitForBegun(1));
     std::this_thread::sleep_for(Milliseconds(20));
@@ -141,7 +141,7 @@
 BOOST_FIXTURE_TEST_CASE(RunsNothingAfterConnectionClose, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1", "Connection: close\r\n") + get("/2") + post("/order", "one"));
     BOOST_TEST(waitForBegun(1));
     std::this_thread::sleep_for(ObservationTime);
@@ -159,10 +159,10 @@
 BOOST_FIXTURE_TEST_CASE(RespondsToRunningRequestsWhileDraining, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     caller.send(get("/held/1") + get("/held/2") + post("/order", "one"));
     BOOST_TEST(waitForBegun(2));
-    server.ask([](HttpServer &it) {
+    server.invoke([](HttpServer &it) {
         it.drain();
         return 0;
     });
@@ -181,7 +181,7 @@
 {
     RunningServer server(options);
     {
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         caller.send(get("/held/1") + get("/held/2") + get("/held/3"));
         BOOST_TEST(waitForBegun(3));
         caller.close();
@@ -193,7 +193,7 @@
 BOOST_FIXTURE_TEST_CASE(LimitsPipelinedRequests, Fixture)
 {
     RunningServer server(options);
-    RawCaller caller(ServerEndpoint);
+    RawClient caller(ServerEndpoint);
     std::string requests;
     for (int i = 0; i < 100; ++i) {
         requests += get("/held/" + std::to_string(i));
@@ -215,7 +215,7 @@
     RunningServer server(options);
     const auto requests = get("/1") + get("/2") + post("/3", "three") + postChunked("/4", "four") + get("/5");
     for (std::size_t split = 1; split < requests.size(); ++split) {
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         caller.send(requests.substr(0, split));
         std::this_thread::sleep_for(Milliseconds(1));
         caller.send(requests.substr(split));
@@ -245,7 +245,7 @@
         }
         const bool malformed = below(3) == 0;
         requests += malformed ? "GET / HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n" : "";
-        RawCaller caller(ServerEndpoint);
+        RawClient caller(ServerEndpoint);
         for (std::size_t sent = 0; sent < requests.size();) {
             const auto part = 1 + below(300);
             caller.send(requests.substr(sent, part));
--- a/autotests/unit/platformnodetest.cpp
+++ b/autotests/unit/platformnodetest.cpp
@@ -2,7 +2,7 @@
 
 #include "daemon/platformnode.h"
 #include "httptest.h"
-#include "platform/calldialect.h"
+#include "platform/callheadernames.h"
 #include "platform/configuration.h"
 #include "platform/heartbeat.h"
 #include "scriptedstore.h"
@@ -36,7 +36,7 @@
     explicit Fixture(std::deque<Result<DocumentSet>> answers)
         : node(context,
             {.settings = settings(),
-                .dialect = Platform::callDialect(),
+                .headerNames = Platform::callHeaderNames(),
                 .configKind = Platform::ConfigKind,
                 .configName = Platform::ConfigName,
                 .decodeConfig = Platform::decodeConfiguration,
@@ -44,7 +44,7 @@
                 .openStore =
                     [&](HttpClient &) {
                         auto store = std::make_unique<ScriptedStore>(context);
-                        store->answers = std::move(answers);
+                        store->responses = std::move(answers);
                         return store;
                     },
                 .log = [](LogLevel, std::string_view, const std::vector<LogField> &) {}})
@@ -61,7 +61,7 @@
 
     static std::string get(const Endpoint &endpoint, const std::string &path)
     {
-        RawCaller caller(endpoint);
+        RawClient caller(endpoint);
         caller.send("GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
         return caller.readToEnd().value_or("");
     }
--- a/autotests/unit/platformtest.cpp
+++ b/autotests/unit/platformtest.cpp
@@ -160,7 +160,7 @@
     BOOST_TEST(target.sequence == 4U);
     BOOST_TEST(target.slots == 6U);
     BOOST_TEST(toString(target.address) == "10.1.0.8:8301");
-    BOOST_TEST(target.warmUpLeft.count() == 1500);
+    BOOST_TEST(target.warmUpRemaining.count() == 1500);
     BOOST_TEST(!target.draining);
 }
 
@@ -192,11 +192,11 @@
     HttpRequest request(http::verb::delete_, "/instances/i-1", 11);
     auto message = Platform::decodeTargetMessage(request);
     BOOST_REQUIRE(message.has_value());
-    BOOST_TEST(std::get<TargetLeaving>(*message).id == "i-1");
-    BOOST_TEST(!std::get<TargetLeaving>(*message).startedAt.has_value());
+    BOOST_TEST(std::get<TargetDeparture>(*message).id == "i-1");
+    BOOST_TEST(!std::get<TargetDeparture>(*message).startedAt.has_value());
     request.body() = R"({"born":1777078383118})";
     message = Platform::decodeTargetMessage(request);
-    BOOST_TEST(std::get<TargetLeaving>(*message).startedAt.value() == 1777078383118);
+    BOOST_TEST(std::get<TargetDeparture>(*message).startedAt.value() == 1777078383118);
 }
 
 BOOST_AUTO_TEST_CASE(ReadsARollout)
@@ -205,10 +205,10 @@
     document.created = ObjectVersion(4);
     const auto stored = Platform::decodeRollout(document);
     BOOST_REQUIRE(stored.has_value());
-    BOOST_TEST(stored->order.service == ServiceName("a"));
-    BOOST_TEST(stored->order.version == TargetVersion("v2"));
-    BOOST_TEST(stored->order.duration.count() == 12500);
-    BOOST_TEST(stored->order.created == ObjectVersion(4));
+    BOOST_TEST(stored->spec.service == ServiceName("a"));
+    BOOST_TEST(stored->spec.version == TargetVersion("v2"));
+    BOOST_TEST(stored->spec.duration.count() == 12500);
+    BOOST_TEST(stored->spec.created == ObjectVersion(4));
     BOOST_TEST(stored->version == ObjectVersion(9));
     BOOST_TEST(!stored->stage);
 }
@@ -217,7 +217,7 @@
 {
     StoredDocument document{.name = "a", .content = R"({"service":"a","target-version":"v2","duration-s":12})"};
     for (const auto stage : {RolloutStage::Running, RolloutStage::Succeeded, RolloutStage::RolledBack}) {
-        document.status = Platform::encodeRolloutStatus({.order = {.version = TargetVersion("v2")}, .stage = stage});
+        document.status = Platform::encodeRolloutStatus({.spec = {.version = TargetVersion("v2")}, .stage = stage});
         BOOST_TEST((Platform::decodeRollout(document)->stage == stage));
     }
     // Of an earlier spec, of another program, malformed or empty.
--- a/autotests/unit/urgencyguardtest.cpp
+++ b/autotests/unit/priorityinversionguardtest.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/urgencyguard.h"
+#include "core/calls/priorityinversionguard.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -22,7 +22,7 @@
 {
     RouteDefinition lookup = route("lookup", Rates, 2);
     RouteDefinition submit = route("submit", Submissions, 1);
-    UrgencyGuard guard{{.seed = 7}};
+    PriorityInversionGuard guard{{.seed = 7}};
     TimePoint now{std::chrono::seconds(1)};
 
     // A second of submissions, of which that many of ten are rejected.
@@ -30,7 +30,7 @@
     {
         for (int i = 0; i < 20; ++i) {
             now += Milliseconds(50);
-            guard.ended(submit, Submissions, i % 10 < rejectedOfTen, now);
+            guard.callEnded(submit, Submissions, i % 10 < rejectedOfTen, now);
         }
     }
 
@@ -39,7 +39,7 @@
     {
         int count = 0;
         for (int i = 0; i < 1000; ++i) {
-            count += guard.shedLoad(calls, now) ? 1 : 0;
+            count += guard.shouldShed(calls, now) ? 1 : 0;
         }
         return count / 1000.0;
     }
@@ -52,15 +52,15 @@
 // submissions were rejected.
 BOOST_FIXTURE_TEST_CASE(LookupsAreShedInFavourOfSubmissions, Fixture)
 {
-    guard.learn(lookup.name, {Submissions});
+    guard.setCalledServices(lookup.name, {Submissions});
     submissions(8);
     submissions(8);
     BOOST_TEST(shedFraction(lookup) > 0.65);
     BOOST_TEST(shedFraction(lookup) < 0.85);
     // Never the other way round.
-    guard.learn(submit.name, {Rates});
+    guard.setCalledServices(submit.name, {Rates});
     for (int i = 0; i < 20; ++i) {
-        guard.ended(lookup, Rates, true, now);
+        guard.callEnded(lookup, Rates, true, now);
     }
     BOOST_TEST(shedFraction(submit) == 0);
 }
@@ -71,17 +71,17 @@
 {
     submissions(8);
     BOOST_TEST(shedFraction(lookup) == 0);
-    guard.learn(lookup.name, {ServiceName("archive")});
+    guard.setCalledServices(lookup.name, {ServiceName("archive")});
     BOOST_TEST(shedFraction(lookup) == 0);
 }
 
 // Lookups that are rejected as often for lack of slots of their own are not shed in addition.
 BOOST_FIXTURE_TEST_CASE(OtherRejectionsCount, Fixture)
 {
-    guard.learn(lookup.name, {Submissions});
+    guard.setCalledServices(lookup.name, {Submissions});
     submissions(4);
     for (int i = 0; i < 50; ++i) {
-        guard.ended(lookup, Rates, i % 2 == 0, now);
+        guard.callEnded(lookup, Rates, i % 2 == 0, now);
     }
     BOOST_TEST(shedFraction(lookup) == 0);
 }
@@ -89,7 +89,7 @@
 // The targets return; seconds later nothing is shed any more.
 BOOST_FIXTURE_TEST_CASE(StopsSheddingWithinSeconds, Fixture)
 {
-    guard.learn(lookup.name, {Submissions});
+    guard.setCalledServices(lookup.name, {Submissions});
     submissions(9);
     for (int second = 0; second < 6; ++second) {
         submissions(0);
--- a/autotests/unit/readinessgatetest.cpp
+++ b/autotests/unit/readinessgatetest.cpp
@@ -19,11 +19,11 @@
 BOOST_AUTO_TEST_CASE(WaitsForTheRevisionOfTheStore)
 {
     ReadinessGate gate;
-    gate.memberHeard(member(1), Revision(6));
-    BOOST_TEST(!gate.open(Revision(6), 10));
+    gate.revisionAdvertised(member(1), Revision(6));
+    BOOST_TEST(!gate.checkReady(Revision(6), 10));
     gate.storeAnswered(Revision(7));
-    BOOST_TEST(!gate.open(Revision(6), 10));
-    BOOST_TEST(gate.open(Revision(7), 10));
+    BOOST_TEST(!gate.checkReady(Revision(6), 10));
+    BOOST_TEST(gate.checkReady(Revision(7), 10));
 }
 
 // The store is unavailable when the node starts. The first member that advertises a revision is
@@ -32,28 +32,28 @@
 {
     ReadinessGate gate;
     gate.storeFailed();
-    gate.memberHeard(member(1), Revision(6));
-    gate.memberHeard(member(1), Revision(6));
-    gate.memberHeard(member(4), Revision(0));
-    BOOST_TEST(!gate.open(Revision(6), 10));
-    gate.memberHeard(member(2), Revision(7));
-    gate.memberHeard(member(3), Revision(7));
-    BOOST_TEST(!gate.open(Revision(6), 10));
-    BOOST_TEST(gate.open(Revision(7), 10));
+    gate.revisionAdvertised(member(1), Revision(6));
+    gate.revisionAdvertised(member(1), Revision(6));
+    gate.revisionAdvertised(member(4), Revision(0));
+    BOOST_TEST(!gate.checkReady(Revision(6), 10));
+    gate.revisionAdvertised(member(2), Revision(7));
+    gate.revisionAdvertised(member(3), Revision(7));
+    BOOST_TEST(!gate.checkReady(Revision(6), 10));
+    BOOST_TEST(gate.checkReady(Revision(7), 10));
 }
 
 BOOST_AUTO_TEST_CASE(SmallFleetNeedsNoMoreMembersThanThereAre)
 {
     ReadinessGate gate;
     gate.storeFailed();
-    BOOST_TEST(!gate.open(Revision(0), 0));
-    gate.memberHeard(member(1), Revision(3));
-    BOOST_TEST(gate.open(Revision(3), 1));
+    BOOST_TEST(!gate.checkReady(Revision(0), 0));
+    gate.revisionAdvertised(member(1), Revision(3));
+    BOOST_TEST(gate.checkReady(Revision(3), 1));
 }
 
 BOOST_AUTO_TEST_CASE(EmptyStoreMakesReady)
 {
     ReadinessGate gate;
     gate.storeAnswered(Revision(0));
-    BOOST_TEST(gate.open(Revision(0), 0));
+    BOOST_TEST(gate.checkReady(Revision(0), 0));
 }
--- a/autotests/unit/revisionholdertest.cpp
+++ b/autotests/unit/revisionholdertest.cpp
@@ -21,10 +21,10 @@
 BOOST_AUTO_TEST_CASE(NeverAdoptsAnOlderRevision)
 {
     RevisionHolder holder;
-    BOOST_TEST((holder.offer(revision(5)) == RevisionHolder::Verdict::Taken));
-    BOOST_TEST((holder.offer(revision(4)) == RevisionHolder::Verdict::Older));
-    BOOST_TEST((holder.offer(revision(5)) == RevisionHolder::Verdict::Known));
-    BOOST_TEST((holder.offer(revision(5, "ben")) == RevisionHolder::Verdict::Forked));
+    BOOST_TEST((holder.offer(revision(5)) == RevisionHolder::OfferResult::Adopted));
+    BOOST_TEST((holder.offer(revision(4)) == RevisionHolder::OfferResult::Older));
+    BOOST_TEST((holder.offer(revision(5)) == RevisionHolder::OfferResult::Known));
+    BOOST_TEST((holder.offer(revision(5, "ben")) == RevisionHolder::OfferResult::Forked));
     BOOST_TEST(holder.revision().value() == 5U);
-    BOOST_TEST((holder.offer(revision(6)) == RevisionHolder::Verdict::Taken));
+    BOOST_TEST((holder.offer(revision(6)) == RevisionHolder::OfferResult::Adopted));
 }
--- a/autotests/unit/revisionpullertest.cpp
+++ b/autotests/unit/revisionpullertest.cpp
@@ -12,7 +12,7 @@
     std::vector<Endpoint> asked;
     Revision held;
     TimePoint now = TimePoint() + std::chrono::hours(1);
-    RevisionPuller puller{{.pull = [this](const Endpoint &peer) { asked.push_back(peer); }, .held = [this] { return held; }}};
+    RevisionPuller puller{{.pull = [this](const Endpoint &peer) { asked.push_back(peer); }, .revision = [this] { return held; }}};
     Endpoint first{"10.0.0.1", 1};
     Endpoint second{"10.0.0.2", 1};
     Endpoint third{"10.0.0.3", 1};
@@ -24,10 +24,10 @@
 // routed by the old configuration until some later datagram shows the revision.
 BOOST_FIXTURE_TEST_CASE(FailedPullIsRetriedAtAnotherMemberAtOnce, Fixture)
 {
-    puller.heard(first, Revision(5), now);
-    puller.heard(second, Revision(5), now);
+    puller.revisionAdvertised(first, Revision(5), now);
+    puller.revisionAdvertised(second, Revision(5), now);
     BOOST_TEST(asked.size() == 1U);
-    puller.ended(first, now);
+    puller.pullEnded(first, now);
     BOOST_REQUIRE(asked.size() == 2U);
     BOOST_TEST((asked.back() == second));
 }
@@ -36,9 +36,9 @@
 // another one is asked in parallel, but no more than two at once.
 BOOST_FIXTURE_TEST_CASE(SlowPullIsHedged, Fixture)
 {
-    puller.heard(first, Revision(5), now);
-    puller.heard(second, Revision(5), now);
-    puller.heard(third, Revision(5), now);
+    puller.revisionAdvertised(first, Revision(5), now);
+    puller.revisionAdvertised(second, Revision(5), now);
+    puller.revisionAdvertised(third, Revision(5), now);
     puller.tick(now + Milliseconds(100));
     BOOST_TEST(asked.size() == 1U);
     puller.tick(now + Milliseconds(300));
@@ -51,21 +51,21 @@
 BOOST_FIXTURE_TEST_CASE(HeldRevisionIsNotPulled, Fixture)
 {
     held = Revision(5);
-    puller.heard(first, Revision(5), now);
-    puller.heard(second, Revision(4), now);
+    puller.revisionAdvertised(first, Revision(5), now);
+    puller.revisionAdvertised(second, Revision(4), now);
     BOOST_TEST(asked.empty());
 }
 
 // Revision 6 is advertised while 5 is being pulled: the end of that pull doesn't end the search.
 BOOST_FIXTURE_TEST_CASE(NewerRevisionIsPulledAfterwards, Fixture)
 {
-    puller.heard(first, Revision(5), now);
-    puller.heard(second, Revision(6), now);
+    puller.revisionAdvertised(first, Revision(5), now);
+    puller.revisionAdvertised(second, Revision(6), now);
     held = Revision(5);
-    puller.ended(first, now);
+    puller.pullEnded(first, now);
     BOOST_REQUIRE(asked.size() == 2U);
     held = Revision(6);
-    puller.ended(second, now);
+    puller.pullEnded(second, now);
     BOOST_TEST(asked.size() == 2U);
 }
 
@@ -75,27 +75,28 @@
 BOOST_FIXTURE_TEST_CASE(WatcherPullsAfterTheGracePeriod, Fixture)
 {
     bool watches = true;
-    RevisionPuller watcher({.patience = [&] { return Milliseconds(watches ? 800 : 0); },
+    RevisionPuller watcher({.watchGracePeriod = [&] { return Milliseconds(watches ? 800 : 0); },
         .pull = [this](const Endpoint &peer) { asked.push_back(peer); },
-        .held = [this] { return held; }});
-    watcher.heard(first, Revision(5), now);
+        .revision = [this] { return held; }});
+    watcher.revisionAdvertised(first, Revision(5), now);
     watcher.tick(now + Milliseconds(700));
     BOOST_TEST(asked.empty());
     watcher.tick(now + Milliseconds(900));
     BOOST_TEST(asked.size() == 1U);
-    watcher.ended(first, now + Milliseconds(950));
+    watcher.pullEnded(first, now + Milliseconds(950));
     held = Revision(5);
     watches = false;
-    watcher.heard(second, Revision(6), now + Milliseconds(2000));
+    watcher.revisionAdvertised(second, Revision(6), now + Milliseconds(2000));
     BOOST_TEST(asked.size() == 2U);
 }
 
 // The watch delivers the revision within the grace period: nothing is pulled.
 BOOST_FIXTURE_TEST_CASE(RevisionDeliveredByTheWatchIsNotPulled, Fixture)
 {
-    RevisionPuller watcher(
-        {.patience = [] { return Milliseconds(800); }, .pull = [this](const Endpoint &peer) { asked.push_back(peer); }, .held = [this] { return held; }});
-    watcher.heard(first, Revision(5), now);
+    RevisionPuller watcher({.watchGracePeriod = [] { return Milliseconds(800); },
+        .pull = [this](const Endpoint &peer) { asked.push_back(peer); },
+        .revision = [this] { return held; }});
+    watcher.revisionAdvertised(first, Revision(5), now);
     held = Revision(5);
     watcher.tick(now + Milliseconds(900));
     BOOST_TEST(asked.empty());
--- a/autotests/unit/rolloutfleettest.cpp
+++ b/autotests/unit/rolloutfleettest.cpp
@@ -16,16 +16,16 @@
 
 Behaviour failingIf(const Situation &at, bool when)
 {
-    return {.slowdown = 1, .failing = at.ofNewVersion && when ? 0.5 : 0};
+    return {.slowdown = 1, .failureRate = at.ofNewVersion && when ? 0.5 : 0};
 }
 
 const std::map<std::string, Fault> &badVersions()
 {
     static const std::map<std::string, Fault> faults = {
         {"errors", [](const Situation &at) { return failingIf(at, true); }},
-        {"slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 8.0 : 1.0, .failing = 0}; }},
-        {"half of the calls slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion && at.odd ? 8.0 : 1.0, .failing = 0}; }},
-        {"four times as slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 4.0 : 1.0, .failing = 0}; }},
+        {"slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 8.0 : 1.0, .failureRate = 0}; }},
+        {"half of the calls slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion && at.isOddCall ? 8.0 : 1.0, .failureRate = 0}; }},
+        {"four times as slow", [](const Situation &at) { return Behaviour{.slowdown = at.ofNewVersion ? 4.0 : 1.0, .failureRate = 0}; }},
         {"one route", [](const Situation &at) { return failingIf(at, at.route == 1); }},
         {"late", [](const Situation &at) { return failingIf(at, at.seconds > 7); }},
         {"under load", [](const Situation &at) { return failingIf(at, at.load > 0.6); }},
@@ -39,9 +39,9 @@
     using Options = RolloutFleet::Options;
     static const std::map<std::string, std::function<void(Options &)>> all = {
         {"none", [](Options &) {}},
-        {"store not responding", [](Options &options) { options.storeAnswers = [](std::size_t, double at) { return at < 3 || at > 8; }; }},
-        {"store rejects a third of the nodes", [](Options &options) { options.storeAnswers = [](std::size_t node, double) { return node % 3 != 0; }; }},
-        {"nodes partitioned", [](Options &options) { options.cutOff = [](std::size_t node, double at) { return node % 7 == 0 && at > 3 && at < 8; }; }},
+        {"store not responding", [](Options &options) { options.storeResponds = [](std::size_t, double at) { return at < 3 || at > 8; }; }},
+        {"store rejects a third of the nodes", [](Options &options) { options.storeResponds = [](std::size_t node, double) { return node % 3 != 0; }; }},
+        {"nodes partitioned", [](Options &options) { options.isPartitioned = [](std::size_t node, double at) { return node % 7 == 0 && at > 3 && at < 8; }; }},
         {"half restarted", [](Options &options) { options.restarts = [](std::size_t node, double at) { return node % 2 == 0 && at > 5 && at < 5.2; }; }},
         {"burst", [](Options &options) { options.burst = [](double at) { return at > 6 && at < 9 ? 1.7 : 1.0; }; }},
     };
@@ -73,7 +73,7 @@
                 const auto result = simulate(1, fault, disturbance);
                 const auto allowed = ExposureShare * static_cast<double>(result.calls) / 1.3 + ExposureSlack;
                 BOOST_TEST(static_cast<double>(result.newVersionCalls) <= allowed);
-                BOOST_TEST(result.afterCutOff == 0U);
+                BOOST_TEST(result.lateNewVersionCalls == 0U);
                 BOOST_TEST((result.end() == RolloutStage::RolledBack));
                 BOOST_TEST(result.writtenAt <= 16.0);
             }
@@ -101,11 +101,11 @@
 BOOST_AUTO_TEST_CASE(FaultsOfBothVersionsDontRejectTheNewOne)
 {
     const std::map<std::string, Fault> shared = {
-        {"one old target in seven fails", [](const Situation &at) { return Behaviour{.slowdown = 1, .failing = at.target % 7 == 0 ? 0.45 : 0}; }},
-        {"all fail for a while", [](const Situation &at) { return Behaviour{.slowdown = 1, .failing = at.seconds > 4 && at.seconds < 8 ? 0.4 : 0}; }},
-        {"all are slow for a while", [](const Situation &at) { return Behaviour{.slowdown = at.seconds > 4 && at.seconds < 8 ? 5.0 : 1.0, .failing = 0}; }},
-        {"one new target is slow", [](const Situation &at) { return Behaviour{.slowdown = at.target == 25 ? 8.0 : 1.0, .failing = 0}; }},
-        {"one new target fails", [](const Situation &at) { return Behaviour{.slowdown = 1, .failing = at.target == 25 ? 0.9 : 0}; }},
+        {"one old target in seven fails", [](const Situation &at) { return Behaviour{.slowdown = 1, .failureRate = at.target % 7 == 0 ? 0.45 : 0}; }},
+        {"all fail for a while", [](const Situation &at) { return Behaviour{.slowdown = 1, .failureRate = at.seconds > 4 && at.seconds < 8 ? 0.4 : 0}; }},
+        {"all are slow for a while", [](const Situation &at) { return Behaviour{.slowdown = at.seconds > 4 && at.seconds < 8 ? 5.0 : 1.0, .failureRate = 0}; }},
+        {"one new target is slow", [](const Situation &at) { return Behaviour{.slowdown = at.target == 25 ? 8.0 : 1.0, .failureRate = 0}; }},
+        {"one new target fails", [](const Situation &at) { return Behaviour{.slowdown = 1, .failureRate = at.target == 25 ? 0.9 : 0}; }},
     };
     for (const auto &[name, fault] : shared) {
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -145,7 +145,7 @@
                 const auto result = RolloutFleet(options).run();
                 BOOST_TEST((result.end() == (bad ? RolloutStage::RolledBack : RolloutStage::Succeeded)));
                 BOOST_TEST(result.writtenAt <= static_cast<double>(size.seconds));
-                BOOST_TEST(result.afterCutOff == 0U);
+                BOOST_TEST(result.lateNewVersionCalls == 0U);
                 BOOST_TEST((!bad || static_cast<double>(result.newVersionCalls) <= ExposureShare * static_cast<double>(result.calls) / 1.3 + ExposureSlack));
             }
         }
--- a/autotests/unit/rolloutmodeltest.cpp
+++ b/autotests/unit/rolloutmodeltest.cpp
@@ -25,8 +25,8 @@
 RolloutRecord startedRecord()
 {
     // Old enough for every step of the share plan to be over.
-    return {.order = {ServiceName("tablero"), TargetVersion("v2"), Milliseconds(10000), ObjectVersion(1)},
-        .seen = ObjectVersion(1),
+    return {.spec = {ServiceName("tablero"), TargetVersion("v2"), Milliseconds(10000), ObjectVersion(1)},
+        .storeVersion = ObjectVersion(1),
         .stage = RolloutStage::Running,
         .ageMs = 9000,
         .promotedAtMs = 0,
@@ -36,7 +36,7 @@
 RolloutEntry newEntry()
 {
     RolloutEntry entry(startedRecord(), {}, Now - std::chrono::seconds(1));
-    entry.takeStored(ObjectVersion(1), RolloutStage::Running, Now);
+    entry.mergeStored(ObjectVersion(1), RolloutStage::Running, Now);
     return entry;
 }
 
@@ -58,8 +58,9 @@
     {
         std::string key;
         for (const auto &node : nodes) {
-            key += std::to_string(static_cast<int>(node.stage())) + "/" + std::to_string(node.record(Now).seen.value()) + (node.isCertain() ? "," : "?,");
-            const auto wanted = node.wantedInStore(targets(), Now);
+            key += std::to_string(static_cast<int>(node.stage())) + "/" + std::to_string(node.record(Now).storeVersion.value())
+                + (node.isReportable() ? "," : "?,");
+            const auto wanted = node.pendingStage(targets(), Now);
             key += wanted ? std::to_string(static_cast<int>(*wanted)) : "-";
         }
         key += "|" + std::to_string(version) + (stored ? std::to_string(static_cast<int>(*stored)) : "-");
@@ -67,9 +68,9 @@
             + std::to_string(restartsLeft);
     }
 
-    static VersionCensus targets()
+    static TargetsByVersion targets()
     {
-        return {.ofVersion = {NodeName("new")}, .othersReady = 1, .others = {OldTarget}};
+        return {.newVersionTargets = {NodeName("new")}, .otherVersionReadyCount = 1, .otherVersionTargets = {OldTarget}};
     }
 
     bool mayRunOnOld() const
@@ -100,20 +101,20 @@
 void write(State &state, std::size_t evaluator, bool responseLost)
 {
     auto &entry = state.nodes[evaluator];
-    const auto wanted = entry.wantedInStore(State::targets(), Now);
+    const auto wanted = entry.pendingStage(State::targets(), Now);
     if (!wanted) {
         return;
     }
-    if (entry.record(Now).seen.value() != state.version) {
+    if (entry.record(Now).storeVersion.value() != state.version) {
         // A conflict: the evaluator reads the current state.
-        entry.takeStored(ObjectVersion(state.version), state.stored, Now);
+        entry.mergeStored(ObjectVersion(state.version), state.stored, Now);
         return;
     }
     ++state.version;
     state.finalStages += isFinal(*wanted) ? 1 : 0;
     state.stored = wanted;
     if (!responseLost) {
-        entry.takeStored(ObjectVersion(state.version), wanted, Now);
+        entry.mergeStored(ObjectVersion(state.version), wanted, Now);
     }
 }
 
@@ -124,8 +125,8 @@
         .process = 1,
         .service = ServiceName("tablero"),
         .version = TargetVersion("v1"),
-        .order = ObjectVersion(1),
-        .report = 1,
+        .specCreated = ObjectVersion(1),
+        .sequence = 1,
         .retired = retired,
         .routes = {}};
     state.nodes[evaluator].merge(counts, Now);
@@ -150,7 +151,7 @@
         });
         add([&](State &s) { write(s, evaluator, false); });
         add([&](State &s) { write(s, evaluator, true); });
-        add([&](State &s) { s.nodes[evaluator].takeStored(ObjectVersion(s.version), s.stored, Now); });
+        add([&](State &s) { s.nodes[evaluator].mergeStored(ObjectVersion(s.version), s.stored, Now); });
         if (state.oldRetired && !state.trustsReport[evaluator]) {
             add([&](State &s) { report(s, evaluator, true); });
         }
@@ -162,14 +163,14 @@
                 --s.restartsLeft;
                 s.nodes[evaluator] = newEntry();
                 s.trustsReport[evaluator] = false;
-                s.nodes[evaluator].awaitEvidence();
-                s.nodes[evaluator].takeStored(ObjectVersion(s.version), s.stored, Now);
+                s.nodes[evaluator].awaitPeerRecords();
+                s.nodes[evaluator].mergeStored(ObjectVersion(s.version), s.stored, Now);
             });
         }
     }
     for (std::size_t from = 0; from < Nodes; ++from) {
         for (std::size_t to = 0; to < Nodes; ++to) {
-            if (from != to && state.nodes[from].isCertain()) {
+            if (from != to && state.nodes[from].isReportable()) {
                 add([&](State &s) { s.nodes[to].merge(s.nodes[from].record(Now), Now - std::chrono::milliseconds(500)); });
             }
         }
--- a/autotests/unit/rolloutrecordtest.cpp
+++ b/autotests/unit/rolloutrecordtest.cpp
@@ -1,4 +1,4 @@
-#include "core/rollouts/rolloutcontrol.h"
+#include "core/rollouts/rolloutcontroller.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -7,14 +7,14 @@
 
 namespace {
 
-RolloutOrder spec(std::uint64_t created)
+RolloutSpec spec(std::uint64_t created)
 {
     return {ServiceName("tablero"), TargetVersion("v2"), Milliseconds(16000), ObjectVersion(created)};
 }
 
 RolloutRecord record(RolloutStage stage, std::uint32_t ageMs, std::uint64_t created = 10)
 {
-    return {.order = spec(created), .seen = ObjectVersion(created), .stage = stage, .ageMs = ageMs, .promotedAtMs = 0, .reason = {}};
+    return {.spec = spec(created), .storeVersion = ObjectVersion(created), .stage = stage, .ageMs = ageMs, .promotedAtMs = 0, .reason = {}};
 }
 
 MemberRecord member(int number, const std::string &version)
@@ -33,7 +33,7 @@
 
 struct Fixture
 {
-    RolloutControl control{{.self = member(1, "v1"),
+    RolloutController control{{.self = member(1, "v1"),
         .send = [this](const Endpoint &, const RolloutReport &) { ++sent; },
         .targetIdle = [] { return true; },
         .changed = [this](const RolloutRecord &changed, const std::string &) { stages.push_back(changed.stage); }}};
@@ -48,7 +48,7 @@
 
     void read(std::optional<RolloutStage> stage, std::uint64_t version = 10, std::uint64_t created = 10)
     {
-        control.orderRead({spec(created), ObjectVersion(version), stage}, false, now);
+        control.specRead({spec(created), ObjectVersion(version), stage}, false, now);
     }
 
     std::optional<VersionRule> rule()
@@ -80,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(LaterSpecReplacesAnEarlierOneOnly)
 {
     auto local = record(RolloutStage::RolledBack, 9000, 10);
-    BOOST_TEST((mergeRollout(local, record(RolloutStage::Running, 0, 20)) == RolloutMerge::Order));
+    BOOST_TEST((mergeRollout(local, record(RolloutStage::Running, 0, 20)) == RolloutMerge::Spec));
     BOOST_TEST((local.stage == RolloutStage::Running));
     BOOST_TEST((mergeRollout(local, record(RolloutStage::RolledBack, 9000, 10)) == RolloutMerge::Nothing));
     BOOST_TEST((local.stage == RolloutStage::Running));
@@ -98,14 +98,14 @@
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
     // A new spec for the same version.
     fixture.read(std::nullopt, 20, 20);
-    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
+    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
 }
 
 BOOST_AUTO_TEST_CASE(RolloutRemovedMidwayLeavesTheVersionWithoutCalls)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
-    fixture.control.orderRemoved(ServiceName("tablero"), fixture.now);
+    fixture.control.specRemoved(ServiceName("tablero"), fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
     BOOST_TEST(fixture.control.dueWrites(fixture.now + std::chrono::seconds(5)).empty());
 }
@@ -114,9 +114,9 @@
 {
     Fixture fixture;
     fixture.read(std::nullopt);
-    fixture.control.ordersListed({}, ObjectVersion(9), fixture.now);
-    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
-    fixture.control.ordersListed({}, ObjectVersion(11), fixture.now);
+    fixture.control.specsListed({}, ObjectVersion(9), fixture.now);
+    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
+    fixture.control.specsListed({}, ObjectVersion(11), fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
 }
 
@@ -144,7 +144,7 @@
         fixture.now += Milliseconds(100);
         fixture.control.tick(fixture.now);
         for (auto &write : fixture.control.dueWrites(fixture.now)) {
-            fixture.control.written(write, ObjectVersion(write.expected.value() + 1), fixture.now);
+            fixture.control.writeCompleted(write, ObjectVersion(write.expected.value() + 1), fixture.now);
             writes.push_back(std::move(write));
         }
     }
@@ -163,15 +163,15 @@
     const auto from = member(2, "v1").control();
     RolloutReport report{.records = {record(RolloutStage::CutOff, 100)}, .counts = {}};
     fixture.control.receive({"10.9.9.9", 7000}, report, fixture.now);
-    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
-    report.records.front().order.duration = Milliseconds(0);
+    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
+    report.records.front().spec.duration = Milliseconds(0);
     fixture.control.receive(from, report, fixture.now);
-    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
+    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
     TargetCounts counts{.node = NodeName("node-2"),
         .process = 1,
         .service = ServiceName("tablero"),
         .version = TargetVersion("v1"),
-        .order = ObjectVersion(10),
+        .specCreated = ObjectVersion(10),
         .retired = false,
         .routes = {{RouteName("r"), 5, 6, {}}}};
     fixture.control.receive(from, {.records = {}, .counts = {counts}}, fixture.now);
@@ -186,13 +186,13 @@
 BOOST_AUTO_TEST_CASE(RolloutAlreadyStartedWaitsForPeerRecords)
 {
     Fixture fixture;
-    fixture.control.orderRead({spec(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
+    fixture.control.specRead({spec(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
     fixture.control.tick(fixture.now);
     BOOST_TEST(fixture.sent == 0);
     fixture.now += Milliseconds(2100);
     fixture.control.tick(fixture.now);
-    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Trial));
+    BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
 }
 
 // Guards against a service without targets: the targets of the new version are lost while it gets
--- a/autotests/unit/routelimitertest.cpp
+++ b/autotests/unit/routelimitertest.cpp
@@ -8,15 +8,15 @@
 // routes; and the node as a whole has a limit.
 BOOST_AUTO_TEST_CASE(hangingRouteLeavesPlacesForOthers)
 {
-    RouteLimiter limiter({.all = 5, .perRoute = 3});
+    RouteLimiter limiter({.maxCalls = 5, .maxCallsPerRoute = 3});
     const RouteName hanging("hanging");
     for (int i = 0; i < 3; ++i) {
-        BOOST_TEST(limiter.tryEnter(hanging));
+        BOOST_TEST(limiter.tryAcquire(hanging));
     }
-    BOOST_TEST(!limiter.tryEnter(hanging));
-    BOOST_TEST(limiter.tryEnter(RouteName("a")));
-    BOOST_TEST(limiter.tryEnter(RouteName("b")));
-    BOOST_TEST(!limiter.tryEnter(RouteName("c")));
-    limiter.leave(hanging);
-    BOOST_TEST(limiter.tryEnter(RouteName("c")));
+    BOOST_TEST(!limiter.tryAcquire(hanging));
+    BOOST_TEST(limiter.tryAcquire(RouteName("a")));
+    BOOST_TEST(limiter.tryAcquire(RouteName("b")));
+    BOOST_TEST(!limiter.tryAcquire(RouteName("c")));
+    limiter.release(hanging);
+    BOOST_TEST(limiter.tryAcquire(RouteName("c")));
 }
--- a/autotests/unit/servicelevelmetricstest.cpp
+++ b/autotests/unit/servicelevelmetricstest.cpp
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_CASE(CountsByWindow)
 {
-    SlidingCounts counts;
+    SlidingWindowCounts counts;
     counts.add(Start, {.calls = 10, .failed = 1, .slow = 2});
     counts.add(Start + std::chrono::minutes(30), {.calls = 5, .failed = 0, .slow = 0});
     const auto now = Start + std::chrono::minutes(31);
@@ -34,10 +34,10 @@
 // show a burn that ended long ago.
 BOOST_AUTO_TEST_CASE(DiscardsCountsOlderThanTheLongestWindow)
 {
-    SlidingCounts counts;
+    SlidingWindowCounts counts;
     counts.add(Start, {.calls = 10, .failed = 10, .slow = 0});
-    counts.add(Start + SlidingCounts::Longest, {.calls = 1, .failed = 0, .slow = 0});
-    BOOST_TEST(counts.sum(Start + SlidingCounts::Longest, SlidingCounts::Longest).failed == 0U);
+    counts.add(Start + SlidingWindowCounts::MaxWindow, {.calls = 1, .failed = 0, .slow = 0});
+    BOOST_TEST(counts.sum(Start + SlidingWindowCounts::MaxWindow, SlidingWindowCounts::MaxWindow).failed == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(SumsBurnRatesOverNodes)
@@ -45,10 +45,10 @@
     ServiceLevelMetrics first;
     ServiceLevelMetrics second;
     for (int i = 0; i < 98; ++i) {
-        first.record(route(), CallEnd::Answered, std::chrono::milliseconds(i < 4 ? 150 : 10), Start);
+        first.record(route(), CallResult::Answered, std::chrono::milliseconds(i < 4 ? 150 : 10), Start);
     }
-    second.record(route(), CallEnd::NotRun, std::chrono::milliseconds(1), Start);
-    second.record(route(), CallEnd::OutcomeUnknown, std::chrono::milliseconds(1), Start);
+    second.record(route(), CallResult::NotRun, std::chrono::milliseconds(1), Start);
+    second.record(route(), CallResult::OutcomeUnknown, std::chrono::milliseconds(1), Start);
     BurnReport report;
     report.add(first.report(Start));
     report.add(second.report(Start));
@@ -65,7 +65,7 @@
 {
     ServiceLevelMetrics metrics;
     for (int i = 1; i <= 1000; ++i) {
-        metrics.record(route(), CallEnd::Answered, std::chrono::milliseconds(i), Start);
+        metrics.record(route(), CallResult::Answered, std::chrono::milliseconds(i), Start);
     }
     const auto report = metrics.report(Start).front();
     BOOST_TEST(report.latencyP50 == 500.0, boost::test_tools::tolerance(0.02));
--- a/autotests/unit/servicetimestest.cpp
+++ b/autotests/unit/servicetimestest.cpp
@@ -17,17 +17,17 @@
 BOOST_AUTO_TEST_CASE(TheFirstResponseReplacesTheEstimate)
 {
     ServiceTimes times;
-    BOOST_TEST(times.usual(Lookup).count() == 0);
-    times.suppose(Lookup, Microseconds(250000));
-    times.suppose(Archive, Microseconds(1000000));
-    BOOST_TEST(times.usual(Lookup).count() == 250000);
-    BOOST_TEST(times.usual(Archive).count() == 1000000);
-    BOOST_TEST(times.usual() > Microseconds(250000));
-    times.observed(Lookup, Microseconds(160000));
-    times.suppose(Lookup, Microseconds(250000));
-    BOOST_TEST(times.usual(Lookup).count() == 160000);
-    BOOST_TEST(times.usual(Archive).count() == 1000000);
-    BOOST_TEST(times.usual().count() == 160000);
+    BOOST_TEST(times.average(Lookup).count() == 0);
+    times.assume(Lookup, Microseconds(250000));
+    times.assume(Archive, Microseconds(1000000));
+    BOOST_TEST(times.average(Lookup).count() == 250000);
+    BOOST_TEST(times.average(Archive).count() == 1000000);
+    BOOST_TEST(times.average() > Microseconds(250000));
+    times.record(Lookup, Microseconds(160000));
+    times.assume(Lookup, Microseconds(250000));
+    BOOST_TEST(times.average(Lookup).count() == 160000);
+    BOOST_TEST(times.average(Archive).count() == 1000000);
+    BOOST_TEST(times.average().count() == 160000);
 }
 
 // A target becomes slow; the average follows within about ten calls. The latencies are those of a
@@ -37,11 +37,11 @@
     for (const Microseconds latency : {Microseconds(5000), Microseconds(2000000)}) {
         ServiceTimes times;
         for (int i = 0; i < 10; ++i) {
-            times.observed(Lookup, latency);
+            times.record(Lookup, latency);
         }
         for (int i = 0; i < 12; ++i) {
-            times.observed(Lookup, latency * 5);
+            times.record(Lookup, latency * 5);
         }
-        BOOST_TEST(times.usual(Lookup) > latency * 4);
+        BOOST_TEST(times.average(Lookup) > latency * 4);
     }
 }
--- a/autotests/unit/slotlinetest.cpp
+++ b/autotests/unit/slotqueuetest.cpp
@@ -1,4 +1,4 @@
-#include "daemon/slotline.h"
+#include "daemon/slotqueue.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -46,7 +46,7 @@
         CallPolicy policy;
         policy.adaptive = false;
         policy.byUrgency = true;
-        slots = std::make_shared<SlotLine>(context, policy);
+        slots = std::make_shared<SlotQueue>(context, policy);
         slots->setSlots(1);
     }
 
@@ -64,7 +64,7 @@
     void enter(SlotCall &call, FakeConnection &connection, std::optional<bool> &result)
     {
         asio::co_spawn(
-            context, [&]() -> asio::awaitable<void> { result = co_await slots->enter(call, connection); }, asio::detached);
+            context, [&]() -> asio::awaitable<void> { result = co_await slots->acquire(call, connection); }, asio::detached);
     }
 
     // Runs all handlers that are ready.
@@ -75,7 +75,7 @@
     }
 
     asio::io_context context{1};
-    std::shared_ptr<SlotLine> slots;
+    std::shared_ptr<SlotQueue> slots;
     FakeConnection first;
     FakeConnection second;
     std::optional<bool> firstEntered;
@@ -104,7 +104,7 @@
     runReady();
     BOOST_TEST(!waited.has_value());
     BOOST_TEST(slots->waiting() == 1U);
-    slots->leave(running, AdmissionController::End::Answered);
+    slots->release(running, AdmissionController::ReleaseReason::Answered);
     runReady();
     BOOST_TEST(waited.value());
 }
@@ -118,12 +118,12 @@
     auto waiting = call(Milliseconds(30000));
     enter(waiting, second, secondEntered);
     runReady();
-    slots->leave(running, AdmissionController::End::Answered);
+    slots->release(running, AdmissionController::ReleaseReason::Answered);
     second.cancellation().cancel();
     runReady();
     BOOST_REQUIRE(secondEntered.has_value());
     if (*secondEntered) {
-        slots->leave(waiting, AdmissionController::End::NotSent);
+        slots->release(waiting, AdmissionController::ReleaseReason::NotSent);
     }
     BOOST_TEST(slots->running() == 0U);
 }
@@ -140,7 +140,7 @@
     runReady();
     BOOST_TEST(!secondEntered.value());
     BOOST_TEST(slots->waiting() == 0U);
-    slots->leave(running, AdmissionController::End::Answered);
+    slots->release(running, AdmissionController::ReleaseReason::Answered);
     BOOST_TEST(slots->running() == 0U);
 }
 
@@ -157,7 +157,7 @@
     runReady();
     BOOST_TEST(!secondEntered.value());
     auto nested = call(Milliseconds(10));
-    nested.terms.forRunningCall = true;
+    nested.terms.hasRunningParent = true;
     std::optional<bool> nestedEntered;
     enter(nested, second, nestedEntered);
     runReady();
--- a/autotests/unit/targetpickertest.cpp
+++ b/autotests/unit/targetpickertest.cpp
@@ -37,7 +37,7 @@
     void fail(std::size_t target, int times)
     {
         for (int i = 0; i < times; ++i) {
-            picker.failed(Service, targets[target].name, now);
+            picker.attemptFailed(Service, targets[target].name, now);
         }
     }
 
@@ -53,7 +53,7 @@
 BOOST_AUTO_TEST_CASE(staysInTheLocalDataCentreUntilItIsFull)
 {
     BOOST_TEST(pickMany().size() == 1U);
-    picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
+    picker.updateReportedLoad(targets[0].name, {.calls = 6, .limit = 6}, now);
     BOOST_TEST(pickMany().count("n0") == 0U);
     now += Milliseconds(600);
     BOOST_TEST(pickMany().count("n0") == 1U);
@@ -64,7 +64,7 @@
 BOOST_AUTO_TEST_CASE(fullServiceGetsNoRetries)
 {
     for (const auto &target : targets) {
-        picker.reported(target.name, {.calls = 6, .limit = 6}, now);
+        picker.updateReportedLoad(target.name, {.calls = 6, .limit = 6}, now);
     }
     BOOST_TEST(picker.pick(targets, {}, now) != nullptr);
     BOOST_TEST(picker.pick(targets, {targets[0].name}, now, true) == nullptr);
@@ -83,7 +83,7 @@
     now += Milliseconds(501);
     BOOST_TEST(pickMany().count("n0") == 0U);
     now += Milliseconds(501);
-    picker.succeeded(Service, targets[0].name);
+    picker.attemptSucceeded(Service, targets[0].name);
     fail(0, 2);
     BOOST_TEST(pickMany().count("n0") == 1U);
 }
@@ -104,9 +104,9 @@
         const auto *target = picker.pick(targets, {}, now);
         ++picked[target->name.value()];
         if (random() % 100 < 55) {
-            picker.failed(Service, target->name, now);
+            picker.attemptFailed(Service, target->name, now);
         } else {
-            picker.succeeded(Service, target->name);
+            picker.attemptSucceeded(Service, target->name);
         }
     }
     for (const auto &target : targets) {
@@ -121,10 +121,10 @@
 {
     fail(1, 3);
     fail(2, 3);
-    picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
+    picker.updateReportedLoad(targets[0].name, {.calls = 6, .limit = 6}, now);
     BOOST_TEST(pickMany().size() == 1U);
     fail(3, 3);
-    picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
+    picker.updateReportedLoad(targets[0].name, {.calls = 6, .limit = 6}, now);
     BOOST_TEST(pickMany().size() == 3U);
 }
 
@@ -133,9 +133,9 @@
 BOOST_AUTO_TEST_CASE(drainingTargetIsLastResort)
 {
     for (const auto &target : targets) {
-        picker.reported(target.name, {.calls = 9, .limit = 6}, now);
+        picker.updateReportedLoad(target.name, {.calls = 9, .limit = 6}, now);
     }
-    picker.reported(targets[0].name, {.calls = 0, .limit = 0}, now);
+    picker.updateReportedLoad(targets[0].name, {.calls = 0, .limit = 0}, now);
     BOOST_TEST(pickMany().count("n0") == 0U);
     BOOST_TEST(picker.pick({targets[0]}, {}, now) != nullptr);
     BOOST_TEST(picker.pick({targets[0]}, {targets[0].name}, now) == nullptr);
@@ -163,7 +163,7 @@
 BOOST_AUTO_TEST_CASE(TheShortestWaitIsChosen)
 {
     for (const auto &target : targets) {
-        picker.reported(target.name, {.calls = 7, .limit = 6}, now);
+        picker.updateReportedLoad(target.name, {.calls = 7, .limit = 6}, now);
         picker.updateExpectedWait(target.name, Milliseconds(80), now);
     }
     picker.updateExpectedWait(targets[2].name, Milliseconds(30), now);
@@ -178,14 +178,14 @@
 {
     for (auto &target : targets) {
         target.service = Service;
-        picker.reported(target.name, {.calls = 7, .limit = 6}, now);
+        picker.updateReportedLoad(target.name, {.calls = 7, .limit = 6}, now);
         picker.updateExpectedWait(target.name, Milliseconds(target.name == targets[0].name ? 50 : 0), now);
     }
     now += Milliseconds(600);
-    picker.poolObserved(targets[0].dataCentre, Service, {.calls = 7, .limit = 6}, Milliseconds(50), now);
-    picker.poolObserved(targets[1].dataCentre, Service, {.calls = 3, .limit = 18}, Milliseconds(0), now);
+    picker.updatePoolLoad(targets[0].dataCentre, Service, {.calls = 7, .limit = 6}, Milliseconds(50), now);
+    picker.updatePoolLoad(targets[1].dataCentre, Service, {.calls = 3, .limit = 18}, Milliseconds(0), now);
     BOOST_TEST(picker.selectForQueueing(targets, {}, now)->dataCentre == targets[1].dataCentre);
-    picker.poolObserved(targets[1].dataCentre, Service, {.calls = 21, .limit = 18}, Milliseconds(50), now + Milliseconds(1));
+    picker.updatePoolLoad(targets[1].dataCentre, Service, {.calls = 21, .limit = 18}, Milliseconds(50), now + Milliseconds(1));
     BOOST_TEST(picker.selectForQueueing(targets, {}, now + Milliseconds(2))->dataCentre == targets[0].dataCentre);
 }
 
@@ -195,9 +195,9 @@
         target.service = Service;
     }
     BOOST_TEST(picker.pickOverflow(targets, {}, now) == nullptr);
-    picker.poolObserved(targets[1].dataCentre, Service, {.calls = 18, .limit = 18}, Milliseconds(0), now);
+    picker.updatePoolLoad(targets[1].dataCentre, Service, {.calls = 18, .limit = 18}, Milliseconds(0), now);
     BOOST_TEST(picker.pickOverflow(targets, {}, now) == nullptr);
-    picker.poolObserved(targets[1].dataCentre, Service, {.calls = 9, .limit = 18}, Milliseconds(0), now + Milliseconds(1));
+    picker.updatePoolLoad(targets[1].dataCentre, Service, {.calls = 9, .limit = 18}, Milliseconds(0), now + Milliseconds(1));
     const auto *target = picker.pickOverflow(targets, {}, now + Milliseconds(2));
     BOOST_REQUIRE(target != nullptr);
     BOOST_TEST(target->dataCentre == targets[1].dataCentre);
@@ -207,10 +207,10 @@
 // A late report must not replace the load from a later response.
 BOOST_AUTO_TEST_CASE(ALateReportDoesNotReplaceALaterResponse)
 {
-    picker.reported(targets[0].name, {.calls = 6, .limit = 6}, now);
-    picker.loadObserved(targets[0].name, {.calls = 0, .limit = 6}, Milliseconds(0), now - Milliseconds(100));
+    picker.updateReportedLoad(targets[0].name, {.calls = 6, .limit = 6}, now);
+    picker.updateTargetLoad(targets[0].name, {.calls = 0, .limit = 6}, Milliseconds(0), now - Milliseconds(100));
     BOOST_TEST(!picker.mayHaveFreeSlot(targets[0].name, now));
-    picker.loadObserved(targets[0].name, {.calls = 0, .limit = 6}, Milliseconds(0), now + Milliseconds(100));
+    picker.updateTargetLoad(targets[0].name, {.calls = 0, .limit = 6}, Milliseconds(0), now + Milliseconds(100));
     BOOST_TEST(picker.mayHaveFreeSlot(targets[0].name, now + Milliseconds(100)));
 }
 
--- a/autotests/unit/targetregistrationtest.cpp
+++ b/autotests/unit/targetregistrationtest.cpp
@@ -11,7 +11,7 @@
     return stream << toString(state);
 }
 
-std::ostream &operator<<(std::ostream &stream, TargetRegistration::Verdict verdict)
+std::ostream &operator<<(std::ostream &stream, TargetRegistration::RegistrationResult verdict)
 {
     return stream << static_cast<int>(verdict);
 }
@@ -20,7 +20,7 @@
 
 namespace {
 
-using Verdict = TargetRegistration::Verdict;
+using Verdict = TargetRegistration::RegistrationResult;
 
 const Endpoint Here{"10.1.0.8", 8301};
 const TimePoint Start{Milliseconds(1000000)};
@@ -51,12 +51,12 @@
 BOOST_AUTO_TEST_CASE(LeavingIsFinalForOneStart)
 {
     auto target = registration(true);
-    target.announced(announcement("i-1", 100, 1), Start);
+    target.targetAnnounced(announcement("i-1", 100, 1), Start);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
-    target.announced(announcement("i-1", 100, 3, true), Start);
-    BOOST_TEST(target.announced(announcement("i-1", 100, 2), Start) == Verdict::Stale);
+    target.targetAnnounced(announcement("i-1", 100, 3, true), Start);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 2), Start) == Verdict::Stale);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
-    target.announced(announcement("i-1", 100, 4), Start);
+    target.targetAnnounced(announcement("i-1", 100, 4), Start);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
@@ -65,8 +65,8 @@
 BOOST_AUTO_TEST_CASE(DrainingHeartbeatCountsHoweverLate)
 {
     auto target = registration(true);
-    target.announced(announcement("i-1", 100, 5), Start);
-    target.announced(announcement("i-1", 100, 4, true), Start);
+    target.targetAnnounced(announcement("i-1", 100, 5), Start);
+    target.targetAnnounced(announcement("i-1", 100, 4, true), Start);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
@@ -75,12 +75,12 @@
 BOOST_AUTO_TEST_CASE(LaterStartReplacesAnEarlierOneOfTheSameId)
 {
     auto target = registration(true);
-    target.announced(announcement("i-1", 100, 50), Start);
-    target.left("i-1", 100);
-    BOOST_TEST(target.announced(announcement("i-1", 200, 1), Start) == Verdict::Taken);
+    target.targetAnnounced(announcement("i-1", 100, 50), Start);
+    target.leaveAnnounced("i-1", 100);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 200, 1), Start) == Verdict::Accepted);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
-    BOOST_TEST(target.left("i-1", 100) == Verdict::Stale);
-    BOOST_TEST(target.announced(announcement("i-1", 100, 51, true), Start) == Verdict::Stale);
+    BOOST_TEST(target.leaveAnnounced("i-1", 100) == Verdict::Stale);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 51, true), Start) == Verdict::Stale);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
 }
 
@@ -89,14 +89,14 @@
 BOOST_AUTO_TEST_CASE(RestartedNodeChecksHealthBeforeTheFirstCall)
 {
     auto target = registration(false);
-    target.announced(announcement("i-1", 100, 7), Start);
+    target.targetAnnounced(announcement("i-1", 100, 7), Start);
     BOOST_TEST(target.state(Start) == MemberState::Starting);
-    BOOST_TEST(target.needsCheck());
-    target.checked("i-2", true, Start);
-    BOOST_TEST(target.needsCheck());
-    target.checked("i-1", false, Start);
+    BOOST_TEST(target.needsHealthCheck());
+    target.healthChecked("i-2", true, Start);
+    BOOST_TEST(target.needsHealthCheck());
+    target.healthChecked("i-1", false, Start);
     BOOST_TEST(target.state(Start) == MemberState::Starting);
-    target.checked("i-1", true, Start);
+    target.healthChecked("i-1", true, Start);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
 }
 
@@ -104,8 +104,8 @@
 BOOST_AUTO_TEST_CASE(TargetThatLeftBeforeItsAnnouncementStaysDraining)
 {
     auto target = registration(true);
-    target.left("i-1", std::nullopt);
-    target.announced(announcement("i-1", 100, 7), Start);
+    target.leaveAnnounced("i-1", std::nullopt);
+    target.targetAnnounced(announcement("i-1", 100, 7), Start);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
@@ -114,14 +114,14 @@
 BOOST_AUTO_TEST_CASE(SilentAndLostTargetsAreReadyWithTheirNextHeartbeat)
 {
     auto target = registration(true);
-    target.announced(announcement("i-1", 100, 1), Start);
+    target.targetAnnounced(announcement("i-1", 100, 1), Start);
     const auto later = Start + Milliseconds(6001);
     BOOST_TEST(target.state(later) == MemberState::Starting);
-    target.announced(announcement("i-1", 100, 2), later);
+    target.targetAnnounced(announcement("i-1", 100, 2), later);
     BOOST_TEST(target.state(later) == MemberState::Ready);
-    target.lost();
+    target.targetUnreachable();
     BOOST_TEST(target.state(later) == MemberState::Starting);
-    target.announced(announcement("i-1", 100, 3), later);
+    target.targetAnnounced(announcement("i-1", 100, 3), later);
     BOOST_TEST(target.state(later) == MemberState::Ready);
 }
 
@@ -130,9 +130,9 @@
     auto target = registration(true);
     auto elsewhere = announcement("i-1", 100, 1);
     elsewhere.address.port = 9000;
-    BOOST_TEST(target.announced(elsewhere, Start) == Verdict::Foreign);
+    BOOST_TEST(target.targetAnnounced(elsewhere, Start) == Verdict::Foreign);
     auto other = announcement("i-1", 100, 1);
     other.service = ServiceName("taller");
-    BOOST_TEST(target.announced(other, Start) == Verdict::Foreign);
+    BOOST_TEST(target.targetAnnounced(other, Start) == Verdict::Foreign);
     BOOST_TEST(target.state(Start) == MemberState::Starting);
 }
--- a/autotests/unit/targetspreadtest.cpp
+++ b/autotests/unit/targetspreadtest.cpp
@@ -1,4 +1,4 @@
-#include "fleetload.h"
+#include "loadsimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -14,20 +14,20 @@
 
 constexpr double MaxBusiestToMean = 1.3;
 
-FleetLoad::Options largeFleet(std::uint64_t seed)
+LoadSimulation::Options largeFleet(std::uint64_t seed)
 {
-    FleetLoad::Options options;
+    LoadSimulation::Options options;
     options.seed = seed;
     options.length = Milliseconds(4000);
     return options;
 }
 
-FleetLoad::Result simulate(FleetLoad::Options options)
+LoadSimulation::Result simulate(LoadSimulation::Options options)
 {
-    return FleetLoad(std::move(options)).run();
+    return LoadSimulation(std::move(options)).run();
 }
 
-double maxShortfall(const FleetLoad::Result &result)
+double maxShortfall(const LoadSimulation::Result &result)
 {
     double shortfall = 0;
     for (std::size_t i = 0; i < result.callsOf.size(); ++i) {
@@ -36,7 +36,7 @@
     return shortfall;
 }
 
-double share(std::size_t part, const FleetLoad::Result &result)
+double share(std::size_t part, const LoadSimulation::Result &result)
 {
     return static_cast<double>(part) / static_cast<double>(result.calls);
 }
@@ -54,7 +54,7 @@
         BOOST_TEST(maxShortfall(result) <= MaxShortfall);
         BOOST_TEST(result.busiestToMean() <= MaxBusiestToMean);
         // Twice the share of calls that exceed the slots of their data centre.
-        BOOST_TEST(share(result.crossed, result) <= 0.05);
+        BOOST_TEST(share(result.remoteCalls, result) <= 0.05);
     }
 }
 
@@ -80,7 +80,7 @@
         options.load = 1.3;
         const auto result = simulate(options);
         BOOST_TEST(result.served() >= 0.95 / options.load);
-        BOOST_TEST(share(result.crossed, result) <= 0.1);
+        BOOST_TEST(share(result.remoteCalls, result) <= 0.1);
     }
 }
 
@@ -90,7 +90,7 @@
     auto options = largeFleet(1);
     options.load = 0.6;
     const auto result = simulate(options);
-    BOOST_TEST(share(result.crossed, result) <= 0.005);
+    BOOST_TEST(share(result.remoteCalls, result) <= 0.005);
     BOOST_TEST(share(result.refused, result) <= 0.005);
 }
 
@@ -98,13 +98,13 @@
 BOOST_AUTO_TEST_CASE(WithoutReportsIngressesRelyOnResponses)
 {
     auto silent = largeFleet(1);
-    silent.silentFrom = Milliseconds(0);
+    silent.reportsLostFrom = Milliseconds(0);
     auto none = largeFleet(1);
     none.exchange = false;
     BOOST_TEST(simulate(silent).served() >= simulate(none).served() - 0.01);
 
     auto lost = largeFleet(1);
-    lost.silentFrom = Milliseconds(1500);
+    lost.reportsLostFrom = Milliseconds(1500);
     BOOST_TEST(simulate(lost).served() >= simulate(none).served() - 0.01);
 }
 
@@ -126,14 +126,14 @@
         {"forty slots, 2 s", 3, 6, 12, 40, 2000, Milliseconds(15000)},
     };
     for (const auto &each : cases) {
-        FleetLoad::Options options;
+        LoadSimulation::Options options;
         options.dataCentres = each.dataCentres;
         options.targets = each.targets;
         options.members = each.members;
         options.slots = each.slots;
         options.workMs = each.workMs;
         options.objective = Milliseconds(static_cast<std::int64_t>(each.workMs * 3));
-        options.longestWait = Milliseconds(static_cast<std::int64_t>(each.workMs / 2));
+        options.maxWait = Milliseconds(static_cast<std::int64_t>(each.workMs / 2));
         options.load = 0.7;
         options.length = each.length;
         const auto with = simulate(options);
--- a/autotests/unit/urgentcallqueuetest.cpp
+++ b/autotests/unit/urgentcallqueuetest.cpp
@@ -23,12 +23,12 @@
 
 CallUrgency lookup(int startsWithin)
 {
-    return {.forNewWork = true, .priority = 2, .startBy = Now + Milliseconds(startsWithin)};
+    return {.isTopLevel = true, .priority = 2, .startBy = Now + Milliseconds(startsWithin)};
 }
 
 CallUrgency payment(int startsWithin)
 {
-    return {.forNewWork = true, .priority = 1, .startBy = Now + Milliseconds(startsWithin)};
+    return {.isTopLevel = true, .priority = 1, .startBy = Now + Milliseconds(startsWithin)};
 }
 
 }
@@ -41,8 +41,8 @@
     CallQueue queue({.byUrgency = true});
     queue.push(ticket(1), Lookup, Capacity, lookup(100));
     queue.push(ticket(2), Payment, Capacity, payment(150));
-    queue.push(ticket(3), Lookup, Capacity, {.forNewWork = false, .priority = 2, .startBy = Now + Milliseconds(170)});
-    BOOST_TEST(queue.ahead(payment(150)) == 2U);
+    queue.push(ticket(3), Lookup, Capacity, {.isTopLevel = false, .priority = 2, .startBy = Now + Milliseconds(170)});
+    BOOST_TEST(queue.countAhead(payment(150)) == 2U);
     BOOST_TEST(queue.pop(Now)->value() == 3U);
     BOOST_TEST(queue.pop(Now)->value() == 2U);
     BOOST_TEST(queue.pop(Now)->value() == 1U);
@@ -70,7 +70,7 @@
         queue.push(ticket(i), Lookup, Capacity, lookup(50 + static_cast<int>(i)));
     }
     int unschedulable = 0;
-    while (queue.takeHopeless(Now, Interval)) {
+    while (queue.popUnschedulable(Now, Interval)) {
         ++unschedulable;
     }
     BOOST_TEST(unschedulable == 3);
--- a/autotests/unit/versiontesttest.cpp
+++ b/autotests/unit/versiontesttest.cpp
@@ -47,7 +47,7 @@
             route.route = RouteName("r");
             const Milliseconds time(static_cast<std::int64_t>(200 * slowdown * std::lognormal_distribution<double>(-0.11, 0.47)(m_random)));
             const bool fails = std::bernoulli_distribution(failureRate)(m_random);
-            route.add(fails ? TargetEnd::Failed : time > Milliseconds(1200) ? TargetEnd::GivenUp : TargetEnd::Answered, time, true);
+            route.add(fails ? TargetResult::Failed : time > Milliseconds(1200) ? TargetResult::Abandoned : TargetResult::Answered, time, true);
         }
         for (const auto &[target, counts] : m_counts[version]) {
             m_countTable.merge(counts, m_now);
@@ -57,7 +57,7 @@
     std::mt19937_64 m_random;
     std::size_t m_nextTarget = 0;
     std::map<std::string, std::map<std::size_t, TargetCounts>> m_counts;
-    EvidenceTable m_countTable;
+    TargetCountTable m_countTable;
     VersionTest m_test{{.version = TargetVersion("v2")}};
     TimePoint m_now{std::chrono::hours(1)};
 };
@@ -68,7 +68,7 @@
     Sample sample(seed);
     for (int evaluation = 1; evaluation <= 120; ++evaluation) {
         sample.addRound(200, newCalls, oldFailureRate, newFailureRate, slowdown);
-        if (sample.test().convicts()) {
+        if (sample.test().detectsRegression()) {
             return evaluation;
         }
     }
@@ -112,11 +112,11 @@
     for (int evaluation = 0; evaluation < 100; ++evaluation) {
         sample.addRound(200, 8, 0.001, 0.001, 1);
     }
-    BOOST_TEST(!sample.test().convicts());
+    BOOST_TEST(!sample.test().detectsRegression());
     for (int evaluation = 0; evaluation < 10; ++evaluation) {
         sample.addRound(200, 8, 0.001, 0.5, 1);
     }
-    BOOST_TEST(sample.test().convicts());
+    BOOST_TEST(sample.test().detectsRegression());
 }
 
 BOOST_AUTO_TEST_CASE(SharesBeforeThePromotionStayWithinTheExposure)
@@ -125,11 +125,11 @@
         for (const auto exposure : {0.01, 0.1, 0.3}) {
             const SharePlan plan({.exposureShare = exposure});
             RolloutRecord record;
-            record.order.duration = std::chrono::seconds(seconds);
+            record.spec.duration = std::chrono::seconds(seconds);
             double sum = 0;
             constexpr int Steps = 1000;
             for (int step = 0; step < Steps; ++step) {
-                record.ageMs = static_cast<std::uint32_t>(record.order.duration.count() * step / Steps);
+                record.ageMs = static_cast<std::uint32_t>(record.spec.duration.count() * step / Steps);
                 sum += plan.at(record).share / Steps;
             }
             BOOST_TEST(sum <= exposure);
--- a/autotests/unit/watcherchoicetest.cpp
+++ b/autotests/unit/watcherselectiontest.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet/watcherchoice.h"
+#include "core/fleet/watcherselection.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -34,7 +34,7 @@
 {
     std::map<std::uint32_t, int> chosen;
     for (const auto &self : members) {
-        chosen[self.linkMbps] += WatcherChoice().chooses(self, members) ? 1 : 0;
+        chosen[self.linkMbps] += WatcherSelection().selects(self, members) ? 1 : 0;
     }
     return chosen;
 }
@@ -97,7 +97,7 @@
     std::vector<MemberRecord> live;
     int chosen = 0;
     for (const auto &self : members) {
-        chosen += self.linkMbps == 5 && WatcherChoice().chooses(self, members) ? 1 : 0;
+        chosen += self.linkMbps == 5 && WatcherSelection().selects(self, members) ? 1 : 0;
     }
     BOOST_TEST(chosen == 16);
 }
--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -318,14 +318,14 @@
         {"failed_idempotent_ratio", failedRatio(run.records, true)},
         {"retries_ratio", (totalRetries(fleet) - retriesBefore) / static_cast<double>(calls.sent)},
         {"run_twice", calls.runTwice},
-        {"crossed", calls.crossed},
+        {"crossed", calls.mismatched},
         {"refused_but_run", calls.refusedButRun},
-        {"lost", calls.lost},
+        {"lost", calls.answeredButNotRun},
         {"cut_off", cut},
         {"late_calls", lateCalls}};
     fmt::print("{}\n", line.dump());
     std::fflush(stdout);
-    return calls.holds() && (!planned || (cut == 0 && lateCalls == 0));
+    return calls.isConsistent() && (!planned || (cut == 0 && lateCalls == 0));
 }
 
 bool CallsExperiment::run()
--- a/bench/datapath.cpp
+++ b/bench/datapath.cpp
@@ -111,7 +111,7 @@
     Ingress ingress({.client = ingressClient,
         .node = NodeName("n"),
         .dataCentre = DataCentre("rosario-a"),
-        .callEnded = [](const RouteDefinition &, CallEnd, std::chrono::microseconds) {}});
+        .callEnded = [](const RouteDefinition &, CallResult, std::chrono::microseconds) {}});
     Sidecar sidecar({.context = sidecarReactor.context,
         .client = sidecarClient,
         .service = ServiceName("ventas"),
--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -146,15 +146,15 @@
         {"calls_refused_not_run", calls.notRun},
         {"calls_outcome_unknown", calls.unknown},
         {"orders_run_twice", calls.runTwice},
-        {"answers_crossed", calls.crossed},
-        {"answers_lost", calls.lost},
+        {"answers_crossed", calls.mismatched},
+        {"answers_lost", calls.answeredButNotRun},
         {"refused_but_run", calls.refusedButRun},
         {"convergence_ms", convergence},
         {"control_bytes_per_node", bytes},
         {"revision_in_force", revisions.size() == 1 ? nlohmann::json(*revisions.begin()) : nlohmann::json()},
         {"unclean_stops", unclean}};
     fmt::print("{}\n", line.dump());
-    return applied && rejected && calls.holds() && calls.answered > 0 && revisions.size() == 1 && unclean == 0;
+    return applied && rejected && calls.isConsistent() && calls.answered > 0 && revisions.size() == 1 && unclean == 0;
 }
 
 }
--- a/bench/faultchecks.cpp
+++ b/bench/faultchecks.cpp
@@ -65,7 +65,7 @@
 
 }
 
-const HeadValue *lastHead(const FaultRunRecords &records)
+const HeadValue *highestHead(const FaultRunRecords &records)
 {
     const auto last = std::max_element(
         records.heads.begin(), records.heads.end(), [](const HeadValue &left, const HeadValue &right) { return left.revision < right.revision; });
@@ -84,7 +84,7 @@
         if (sample.revision < served) {
             violations.push_back({"revision-never-falls",
                 fmt::format("node {} serves revision {} after revision {}", sample.node, sample.revision.value(), served.value()),
-                sample.answered});
+                sample.respondedAt});
         }
         // Reports each decrease once.
         served = sample.revision;
@@ -113,7 +113,7 @@
     return violations;
 }
 
-std::vector<Violation> checkWholeRevisions(const FaultRunRecords &records)
+std::vector<Violation> checkRevisionsComplete(const FaultRunRecords &records)
 {
     std::set<std::pair<std::uint64_t, std::string>> accepted;
     for (const auto &head : records.heads) {
@@ -127,18 +127,18 @@
                     sample.node,
                     sample.revision.value(),
                     sample.digest.value()),
-                sample.answered});
+                sample.respondedAt});
         }
     }
     return violations;
 }
 
-std::vector<Violation> checkOwnAnswers(const FaultRunRecords &records)
+std::vector<Violation> checkResponsesMatchCalls(const FaultRunRecords &records)
 {
     const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
     for (const auto &call : records.calls) {
-        if (call.outcome == CallOutcome::Crossed) {
+        if (call.outcome == CallOutcome::Mismatched) {
             violations.push_back({"own-answer", fmt::format("call {} got the response to another call or an incomplete one", call.id), sentAt(records, call)});
         }
         if (call.outcome == CallOutcome::Answered && !runs.contains(call.id)) {
@@ -148,7 +148,7 @@
     return violations;
 }
 
-std::vector<Violation> checkRefusals(const FaultRunRecords &records)
+std::vector<Violation> checkRejections(const FaultRunRecords &records)
 {
     const auto runs = executionsByCall(records);
     std::vector<Violation> violations;
@@ -165,11 +165,11 @@
     }
     for (const auto &apply : records.applies) {
         const bool refused = apply.error && *apply.error != ErrorKind::OutcomeUnknown;
-        if (apply.bad && (!apply.error || accepted.contains(apply.id.value()))) {
-            violations.push_back({"refused-not-run", fmt::format("apply {} of an invalid file was accepted", apply.id.value()), apply.ended});
+        if (apply.hasInvalidFile && (!apply.error || accepted.contains(apply.id.value()))) {
+            violations.push_back({"refused-not-run", fmt::format("apply {} of an invalid file was accepted", apply.id.value()), apply.endedAt});
         }
-        if (!apply.bad && refused && accepted.contains(apply.id.value())) {
-            violations.push_back({"refused-not-run", fmt::format("apply {} was rejected, but took effect", apply.id.value()), apply.ended});
+        if (!apply.hasInvalidFile && refused && accepted.contains(apply.id.value())) {
+            violations.push_back({"refused-not-run", fmt::format("apply {} was rejected, but took effect", apply.id.value()), apply.endedAt});
         }
     }
     return violations;
@@ -216,7 +216,7 @@
         if (!isPlannedStop(stop)) {
             continue;
         }
-        if (!stop.clean) {
+        if (!stop.exitedCleanly) {
             violations.push_back(
                 {"planned-stop", fmt::format("{} of node {}: the process did not exit with code 0 in time", stop.kind, stop.nodes.front()), stop.end});
         }
@@ -241,7 +241,7 @@
 
 std::vector<Violation> checkAcceptedInForce(const FaultRunRecords &records, Milliseconds limit)
 {
-    const auto *head = lastHead(records);
+    const auto *head = highestHead(records);
     if (head == nullptr) {
         return {{"accepted-in-force", "the store has no head", records.begin}};
     }
@@ -249,46 +249,47 @@
     for (const auto &apply : records.applies) {
         const bool kept = std::find(head->applies.begin(), head->applies.end(), apply.id) != head->applies.end();
         if (!apply.error && !kept) {
-            violations.push_back({"accepted-in-force", fmt::format("apply {} was accepted, but is not part of the last head", apply.id.value()), apply.ended});
+            violations.push_back(
+                {"accepted-in-force", fmt::format("apply {} was accepted, but is not part of the last head", apply.id.value()), apply.endedAt});
         }
     }
     auto settled = lastFaultEnd(records);
     for (const auto &apply : records.applies) {
-        settled = std::max(settled, apply.ended);
+        settled = std::max(settled, apply.endedAt);
     }
     const auto due = settled + limit;
     std::map<std::size_t, const StatusSample *> last;
     for (const auto &sample : records.samples) {
         const bool behind = sample.digest != head->digest;
-        if (sample.asked > due && behind) {
+        if (sample.requestedAt > due && behind) {
             violations.push_back({"accepted-in-force",
                 fmt::format("node {} serves revision {} after the time limit; the last accepted revision is {}",
                     sample.node,
                     sample.revision.value(),
                     head->revision.value()),
-                sample.answered});
+                sample.respondedAt});
         }
         last[sample.node] = &sample;
     }
-    for (const auto node : records.live) {
+    for (const auto node : records.runningNodes) {
         const auto found = last.find(node);
         if (found == last.end() || found->second->digest != head->digest) {
             violations.push_back({"accepted-in-force",
                 fmt::format("node {} does not serve revision {} at the end of the run", node, head->revision.value()),
-                found == last.end() ? records.begin : found->second->answered});
+                found == last.end() ? records.begin : found->second->respondedAt});
         }
     }
     return violations;
 }
 
-std::vector<Violation> checkAllPromises(const FaultRunRecords &records)
+std::vector<Violation> checkAllGuarantees(const FaultRunRecords &records)
 {
     std::vector<Violation> all;
     append(all, checkRevisionsNeverFall(records));
     append(all, checkRoutesReachTheirService(records));
-    append(all, checkWholeRevisions(records));
-    append(all, checkOwnAnswers(records));
-    append(all, checkRefusals(records));
+    append(all, checkRevisionsComplete(records));
+    append(all, checkResponsesMatchCalls(records));
+    append(all, checkRejections(records));
     append(all, checkRunAtMostOnce(records));
     append(all, checkLeavingTargets(records, LeavingGracePeriod));
     append(all, checkPlannedStops(records));
--- a/bench/faultchecks.h
+++ b/bench/faultchecks.h
@@ -5,7 +5,7 @@
 namespace Galenahill {
 
 // Returns the head of the highest revision that was ever accepted, or null.
-const HeadValue *lastHead(const FaultRunRecords &records);
+const HeadValue *highestHead(const FaultRunRecords &records);
 
 // Each check verifies one guarantee against the records of a run and returns the violations. Where
 // a caller, a target or the store has recorded an event, the check uses that record instead of what
@@ -20,14 +20,14 @@
 std::vector<Violation> checkRoutesReachTheirService(const FaultRunRecords &records);
 
 // Each revision that a node serves is, with its digest, one of the heads that the store had.
-std::vector<Violation> checkWholeRevisions(const FaultRunRecords &records);
+std::vector<Violation> checkRevisionsComplete(const FaultRunRecords &records);
 
 // No caller got the response to another call, and each call with a response ran at a target.
-std::vector<Violation> checkOwnAnswers(const FaultRunRecords &records);
+std::vector<Violation> checkResponsesMatchCalls(const FaultRunRecords &records);
 
 // Calls that were rejected as not run are in no target's ledger, rejected applies are part of no
 // head, and invalid files are rejected.
-std::vector<Violation> checkRefusals(const FaultRunRecords &records);
+std::vector<Violation> checkRejections(const FaultRunRecords &records);
 
 // Non-idempotent calls ran at most once.
 std::vector<Violation> checkRunAtMostOnce(const FaultRunRecords &records);
@@ -44,6 +44,6 @@
 std::vector<Violation> checkAcceptedInForce(const FaultRunRecords &records, Milliseconds limit);
 
 // Runs all checks above with the time limits that the system guarantees.
-std::vector<Violation> checkAllPromises(const FaultRunRecords &records);
+std::vector<Violation> checkAllGuarantees(const FaultRunRecords &records);
 
 }
--- a/bench/faultplayer.cpp
+++ b/bench/faultinjector.cpp
@@ -1,4 +1,4 @@
-#include "faultplayer.h"
+#include "faultinjector.h"
 
 #include "adapters/http/blockinghttpclient.h"
 
@@ -54,22 +54,22 @@
 
 }
 
-FaultPlayer::FaultPlayer(Fleet &fleet)
+FaultInjector::FaultInjector(Fleet &fleet)
     : m_fleet(fleet)
 {
 }
 
-void FaultPlayer::backUp()
+void FaultInjector::backUpStore()
 {
     sendToStore("/admin/backup");
 }
 
-void FaultPlayer::sendToStore(const std::string &path, const std::string &body)
+void FaultInjector::sendToStore(const std::string &path, const std::string &body)
 {
     sendPost(m_fleet.platform(), path, body);
 }
 
-void FaultPlayer::setLinks(std::size_t node, const std::vector<std::size_t> &others, double loss)
+void FaultInjector::setLinks(std::size_t node, const std::vector<std::size_t> &others, double loss)
 {
     auto links = nlohmann::json::object();
     for (const auto other : others) {
@@ -80,7 +80,7 @@
     sendPost(m_fleet.control(node), "/testing/links", links.dump());
 }
 
-void FaultPlayer::partition(const std::vector<std::size_t> &inside)
+void FaultInjector::partition(const std::vector<std::size_t> &inside)
 {
     std::vector<std::size_t> outside;
     for (std::size_t node = 0; node < m_fleet.size(); ++node) {
@@ -96,7 +96,7 @@
     }
 }
 
-void FaultPlayer::setLossOnAllLinks(double loss)
+void FaultInjector::setLossOnAllLinks(double loss)
 {
     std::vector<std::size_t> all(m_fleet.size());
     for (std::size_t node = 0; node < all.size(); ++node) {
@@ -107,7 +107,7 @@
     }
 }
 
-bool FaultPlayer::exitsCleanly(std::size_t node)
+bool FaultInjector::exitsCleanly(std::size_t node)
 {
     auto *process = m_fleet.nodeProcess(node);
     const auto until = Clock::now() + ExitLimit;
@@ -117,7 +117,7 @@
     return !process->running() && process->wait() == 0;
 }
 
-void FaultPlayer::beginFault(const PlannedFault &fault)
+void FaultInjector::beginFault(const PlannedFault &fault)
 {
     if (fault.kind == "platform-restore" || fault.kind == "restore-herd-kill") {
         sendToStore("/admin/restore");
@@ -143,10 +143,10 @@
     }
 }
 
-void FaultPlayer::endFault(const PlannedFault &fault, FaultRecord &record)
+void FaultInjector::endFault(const PlannedFault &fault, FaultRecord &record)
 {
     if (fault.kind == NodeStopFault) {
-        record.clean = exitsCleanly(fault.nodes.front());
+        record.exitedCleanly = exitsCleanly(fault.nodes.front());
     }
     record.end = Clock::now();
     if (fault.kind.rfind("platform-", 0) == 0) {
@@ -167,7 +167,7 @@
     }
 }
 
-std::vector<FaultRecord> FaultPlayer::play(const std::vector<PlannedFault> &faults)
+std::vector<FaultRecord> FaultInjector::injectAll(const std::vector<PlannedFault> &faults)
 {
     std::vector<FaultRecord> records(faults.size());
     const auto start = Clock::now();
--- a/bench/faultplayer.h
+++ b/bench/faultinjector.h
@@ -8,17 +8,17 @@
 namespace Galenahill {
 
 // Injects scheduled faults into a fleet of real processes, on the calling thread.
-class FaultPlayer
+class FaultInjector
 {
 public:
-    explicit FaultPlayer(Fleet &fleet);
+    explicit FaultInjector(Fleet &fleet);
 
     // Makes the store keep a backup of its objects for a later restore.
-    void backUp();
+    void backUpStore();
 
     // Injects all faults and returns what was done and when. At the end every process runs and no
     // link loses datagrams.
-    std::vector<FaultRecord> play(const std::vector<PlannedFault> &faults);
+    std::vector<FaultRecord> injectAll(const std::vector<PlannedFault> &faults);
 
 private:
     void beginFault(const PlannedFault &fault);
--- a/bench/faultproxy.cpp
+++ b/bench/faultproxy.cpp
@@ -68,7 +68,7 @@
 
     bool isHeld(bool fromServer) const
     {
-        return mode == Mode::Silence || mode == (fromServer ? Mode::CutAnswers : Mode::CutRequests);
+        return mode == Mode::HoldBoth || mode == (fromServer ? Mode::HoldResponses : Mode::HoldRequests);
     }
 
     asio::awaitable<void> accept();
--- a/bench/faultproxy.h
+++ b/bench/faultproxy.h
@@ -20,9 +20,9 @@
         Reset,
         // Data from the server, from the client, or from both is held back until the mode changes.
         // New connections are still accepted.
-        CutAnswers,
-        CutRequests,
-        Silence,
+        HoldResponses,
+        HoldRequests,
+        HoldBoth,
     };
 
     // Throws if it can't listen on the address.
--- a/bench/faultrecords.h
+++ b/bench/faultrecords.h
@@ -17,8 +17,8 @@
 struct StatusSample
 {
     std::size_t node = 0;
-    TimePoint asked;
-    TimePoint answered;
+    TimePoint requestedAt;
+    TimePoint respondedAt;
     Revision revision;
     ContentHash digest;
 };
@@ -38,8 +38,8 @@
     // Unset if the apply was accepted.
     std::optional<ErrorKind> error;
     // The file is invalid, so the apply must never be accepted.
-    bool bad = false;
-    TimePoint ended;
+    bool hasInvalidFile = false;
+    TimePoint endedAt;
 };
 
 // A fault that was injected, or a planned stop, which callers must not notice.
@@ -50,14 +50,14 @@
     TimePoint begin;
     TimePoint end;
     // False if a process that was asked to stop didn't exit with code 0 in time.
-    bool clean = true;
+    bool exitedCleanly = true;
 };
 
 // A guarantee that was broken, and a description of the record that shows it.
 struct Violation
 {
-    std::string promise;
-    std::string record;
+    std::string guarantee;
+    std::string description;
     TimePoint when;
 };
 
@@ -73,7 +73,7 @@
     // Service of each node's target.
     std::vector<std::string> services;
     // Nodes whose process ran at the end.
-    std::vector<std::size_t> live;
+    std::vector<std::size_t> runningNodes;
 };
 
 // Kinds of planned stops, during which no call in flight may be interrupted.
--- a/bench/faults.cpp
+++ b/bench/faults.cpp
@@ -2,7 +2,7 @@
 #include "core/config/contenthash.h"
 #include "experiments.h"
 #include "faultchecks.h"
-#include "faultplayer.h"
+#include "faultinjector.h"
 #include "racingoperators.h"
 #include "reconciliation.h"
 #include "statuspoller.h"
@@ -151,24 +151,24 @@
 bool runAndRecord(Fleet &fleet, const ExperimentOptions &options, const std::vector<NamedText> &files, FaultRunRecords &records)
 {
     const auto schedule = scheduleFaults(options.seed, fleet.size(), fleet.dataCentres(), options.quick ? QuickLength : Length);
-    FaultPlayer player(fleet);
-    player.backUp();
+    FaultInjector player(fleet);
+    player.backUpStore();
     StatusPoller poller(fleet);
     records.begin = Clock::now();
     std::thread callers([&] { records.calls = sendCalls(fleet, options.seed, lastFaultEnd(schedule) + CallsAfterFaults); });
     RacingOperators operators({.nodes = controlEndpoints(fleet), .files = files, .interval = applyInterval(options.seed), .seed = options.seed});
-    records.faults = player.play(schedule);
+    records.faults = player.injectAll(schedule);
     records.applies = operators.stop();
     const bool applied = applyUntilAccepted(fleet, options.seed, files.front(), "last", records.applies);
     records.heads = headHistory(fleet);
-    const auto *last = lastHead(records);
+    const auto *last = highestHead(records);
     if (last != nullptr) {
         fleet.waitForAll([&](const nlohmann::json &status) { return status.value("digest", "") == last->digest.value(); }, InForceLimit);
     }
     callers.join();
     // Gives the poller time to sample the state that the wait above has seen.
     std::this_thread::sleep_for(5 * StatusPoller::Step);
-    records.live = liveNodes(fleet);
+    records.runningNodes = liveNodes(fleet);
     records.samples = poller.stop();
     records.ledger = fleet.loggedRuns();
     return applied;
@@ -189,17 +189,17 @@
 std::int64_t convergence(const FaultRunRecords &records)
 {
     std::map<std::size_t, TimePoint> seen;
-    const auto *last = lastHead(records);
+    const auto *last = highestHead(records);
     for (const auto &sample : records.samples) {
         if (last != nullptr && sample.digest == last->digest) {
-            seen.emplace(sample.node, sample.answered);
+            seen.emplace(sample.node, sample.respondedAt);
         }
     }
-    auto latest = records.applies.back().ended;
+    auto latest = records.applies.back().endedAt;
     for (const auto &[node, time] : seen) {
         latest = std::max(latest, time);
     }
-    return seen.size() < records.live.size() ? -1 : std::chrono::duration_cast<Milliseconds>(latest - records.applies.back().ended).count();
+    return seen.size() < records.runningNodes.size() ? -1 : std::chrono::duration_cast<Milliseconds>(latest - records.applies.back().endedAt).count();
 }
 
 nlohmann::ordered_json toJson(const FaultRunRecords &records, const std::vector<Violation> &violations)
@@ -215,16 +215,16 @@
     json["violations"] = nlohmann::json::array();
     for (const auto &violation : violations) {
         json["violations"].push_back(
-            {{"promise", violation.promise}, {"record", violation.record}, {"when_ms", millisecondsSinceBegin(records, violation.when)}});
+            {{"promise", violation.guarantee}, {"record", violation.description}, {"when_ms", millisecondsSinceBegin(records, violation.when)}});
     }
     json["calls"] = records.calls.size();
     json["calls_answered"] = countWithOutcome(records, CallOutcome::Answered);
     json["calls_refused_not_run"] = countWithOutcome(records, CallOutcome::NotRun);
     json["calls_outcome_unknown"] = countWithOutcome(records, CallOutcome::Unknown);
-    json["answers_crossed"] = countWithOutcome(records, CallOutcome::Crossed);
+    json["answers_crossed"] = countWithOutcome(records, CallOutcome::Mismatched);
     json["orders_run_twice"] = checkRunAtMostOnce(records).size();
-    json["refused_but_run"] = checkRefusals(records).size();
-    json["answers_lost"] = checkOwnAnswers(records).size();
+    json["refused_but_run"] = checkRejections(records).size();
+    json["answers_lost"] = checkResponsesMatchCalls(records).size();
     json["cut_off"] = checkPlannedStops(records).size();
     json["applies"] = records.applies.size();
     json["applies_accepted"] = std::count_if(records.applies.begin(), records.applies.end(), [](const ApplyRecord &apply) { return !apply.error; });
@@ -263,7 +263,7 @@
     }
     const bool applied = runAndRecord(fleet, options, files, records);
     const auto unclean = fleet.stop();
-    const auto violations = checkAllPromises(records);
+    const auto violations = checkAllGuarantees(records);
     nlohmann::ordered_json line
         = {{"bench", "faults"}, {"commit", options.commit}, {"seed", options.seed}, {"nodes", Nodes}, {"seconds", 0}, {"last_apply_accepted", applied}};
     line.update(toJson(records, violations));
--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -30,18 +30,18 @@
         return CallOutcome::Unknown;
     }
     const bool matches = (*response)[idField] == id && response->body() == "done " + id;
-    return matches ? CallOutcome::Answered : CallOutcome::Crossed;
+    return matches ? CallOutcome::Answered : CallOutcome::Mismatched;
 }
 
 asio::awaitable<void> sendCall(HttpClient &client, const LoadGenerator::Options &options, PlannedCall call, TimePoint deadline, CallRecord &record)
 {
-    const auto idField = options.dialect.requestId.empty() ? std::string("Request-Id") : options.dialect.requestId;
+    const auto idField = options.headerNames.requestId.empty() ? std::string("Request-Id") : options.headerNames.requestId;
     const auto verb = http::string_to_verb(call.kind->method);
     HttpRequest request(verb, call.kind->path, 11);
     request.set(http::field::host, options.host.empty() ? toString(call.ingress) : options.host);
     request.set(idField, record.id);
-    if (!options.dialect.requestId.empty()) {
-        request.set(options.dialect.timeLeft, std::to_string(options.timeout.count()));
+    if (!options.headerNames.requestId.empty()) {
+        request.set(options.headerNames.timeoutMs, std::to_string(options.timeout.count()));
     }
     if (verb == http::verb::post) {
         request.body() = "order " + record.id;
--- a/bench/loadgenerator.h
+++ b/bench/loadgenerator.h
@@ -2,7 +2,7 @@
 
 #include "common/endpoint.h"
 #include "common/identifiers.h"
-#include "core/calls/calldialect.h"
+#include "core/calls/callheadernames.h"
 
 #include <cstdint>
 #include <string>
@@ -18,7 +18,7 @@
     // Failed with a response that says that the call may have run, or without a response.
     Unknown,
     // A response arrived that belongs to another call.
-    Crossed,
+    Mismatched,
 };
 
 // The result of one call as seen by its caller.
@@ -63,7 +63,7 @@
         std::string idPrefix = "r";
         // Names of the header fields that callers send, and the value of their Host field. By default
         // the fields that galenahilld expects, and the address of the ingress.
-        CallDialect dialect;
+        CallHeaderNames headerNames;
         std::string host;
     };
 
--- a/bench/platformfleet.cpp
+++ b/bench/platformfleet.cpp
@@ -156,7 +156,7 @@
     return *result;
 }
 
-bool PlatformFleet::ready(std::size_t node) const
+bool PlatformFleet::isReady(std::size_t node) const
 {
     HttpRequest request(http::verb::get, "/ready", 11);
     request.set(http::field::host, "node");
@@ -169,7 +169,7 @@
     const auto until = Clock::now() + limit;
     std::size_t readyNodes = 0;
     while (readyNodes < size() && Clock::now() < until) {
-        if (ready(readyNodes)) {
+        if (isReady(readyNodes)) {
             ++readyNodes;
         } else {
             std::this_thread::sleep_for(PollInterval);
@@ -232,7 +232,7 @@
     return d->path(fmt::format("node-{}.log", node));
 }
 
-std::vector<std::string> PlatformFleet::runs() const
+std::vector<std::string> PlatformFleet::executedCalls() const
 {
     std::vector<std::string> ids;
     for (std::size_t node = 0; node < size(); ++node) {
--- a/bench/platformfleet.h
+++ b/bench/platformfleet.h
@@ -56,7 +56,7 @@
     Endpoint targetForNode(std::size_t node) const;
 
     // Whether the readiness endpoint of the node reports ready.
-    bool ready(std::size_t node) const;
+    bool isReady(std::size_t node) const;
     bool waitUntilReady(Milliseconds limit) const;
 
     void startStore();
@@ -70,7 +70,7 @@
     std::string nodeLog(std::size_t node) const;
 
     // Ids of the calls that the targets ran; an id occurs once for each execution.
-    std::vector<std::string> runs() const;
+    std::vector<std::string> executedCalls() const;
 
 private:
     class Private;
--- a/bench/racingoperators.cpp
+++ b/bench/racingoperators.cpp
@@ -68,7 +68,7 @@
     if (!result) {
         record.error = result.error().kind;
     }
-    record.ended = Clock::now();
+    record.endedAt = Clock::now();
     return record;
 }
 
@@ -78,7 +78,7 @@
     const auto id = fmt::format("operator{}-{}", number, sequence);
     if (sequence % InvalidFileInterval == InvalidFileInterval - 1) {
         auto record = apply(node, id, "hanging.ini", InvalidFileText);
-        record.bad = true;
+        record.hasInvalidFile = true;
         return record;
     }
     const auto &[name, text] = options.files[random() % options.files.size()];
--- a/bench/reconciliation.cpp
+++ b/bench/reconciliation.cpp
@@ -43,10 +43,10 @@
         result.answered += record.outcome == CallOutcome::Answered ? 1 : 0;
         result.notRun += record.outcome == CallOutcome::NotRun ? 1 : 0;
         result.unknown += record.outcome == CallOutcome::Unknown ? 1 : 0;
-        result.crossed += record.outcome == CallOutcome::Crossed ? 1 : 0;
+        result.mismatched += record.outcome == CallOutcome::Mismatched ? 1 : 0;
         result.runTwice += !record.idempotent && runs > 1 ? 1 : 0;
         result.refusedButRun += record.outcome == CallOutcome::NotRun && runs > 0 ? 1 : 0;
-        result.lost += record.outcome == CallOutcome::Answered && runs == 0 ? 1 : 0;
+        result.answeredButNotRun += record.outcome == CallOutcome::Answered && runs == 0 ? 1 : 0;
     }
     return result;
 }
--- a/bench/reconciliation.h
+++ b/bench/reconciliation.h
@@ -14,17 +14,17 @@
     std::size_t answered = 0;
     std::size_t notRun = 0;
     std::size_t unknown = 0;
-    std::size_t crossed = 0;
+    std::size_t mismatched = 0;
     // Non-idempotent calls that ran more than once.
     std::size_t runTwice = 0;
     // Calls that were rejected as not run, but ran.
     std::size_t refusedButRun = 0;
     // Calls with a successful response that no target ran.
-    std::size_t lost = 0;
+    std::size_t answeredButNotRun = 0;
 
-    bool holds() const
+    bool isConsistent() const
     {
-        return crossed == 0 && runTwice == 0 && refusedButRun == 0 && lost == 0;
+        return mismatched == 0 && runTwice == 0 && refusedButRun == 0 && answeredButNotRun == 0;
     }
 };
 
--- a/bench/sampledocument.cpp
+++ b/bench/sampledocument.cpp
@@ -13,15 +13,15 @@
     std::set<std::string> services;
     std::vector<std::string> routeTexts;
     for (const auto &route : routes) {
-        services.insert(filled(lines[1], {{"service", route.service}}));
-        routeTexts.push_back(filled(lines[2],
+        services.insert(fillPlaceholders(lines[1], {{"service", route.service}}));
+        routeTexts.push_back(fillPlaceholders(lines[2],
             {{"name", route.name},
                 {"service", route.service},
                 {"type", route.idempotent ? "safe" : "unsafe"},
                 {"timeout", fmt::format("{}", route.timeoutSeconds)},
                 {"objective", fmt::format("{}", route.objectiveSeconds)}}));
     }
-    return filled(lines[0],
+    return fillPlaceholders(lines[0],
         {{"revision", std::to_string(revision)},
             {"host", host},
             {"services", fmt::format("{}", fmt::join(services, ","))},
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -109,7 +109,7 @@
     };
     options.changed = [] {};
     options.revision = [] { return Revision(1); };
-    options.revisionHeard = [](const Endpoint &, Revision) {};
+    options.revisionAdvertised = [](const Endpoint &, Revision) {};
     const auto records = members(count);
     const auto before = heapBytes();
     Membership membership(std::move(options));
@@ -181,10 +181,10 @@
     route.sloLatency = Milliseconds(100);
     for (std::size_t i = 0; i < routes; ++i) {
         route.name = RouteName(fmt::format("route-{}", i));
-        metrics.record(route, CallEnd::Answered, std::chrono::milliseconds(3), Clock::now());
+        metrics.record(route, CallResult::Answered, std::chrono::milliseconds(3), Clock::now());
     }
     const auto heap = heapBytes() - before;
-    const auto record = microseconds(10000, [&] { metrics.record(route, CallEnd::Answered, std::chrono::milliseconds(3), Clock::now()); });
+    const auto record = microseconds(10000, [&] { metrics.record(route, CallResult::Answered, std::chrono::milliseconds(3), Clock::now()); });
     return {{"routes", routes}, {"heap_bytes", heap}, {"record_us", record}};
 }
 
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -7,7 +7,7 @@
 #include "faultproxy.h"
 #include "fleet.h"
 #include "loadgenerator.h"
-#include "platform/calldialect.h"
+#include "platform/callheadernames.h"
 #include "platformfleet.h"
 #include "sampledocument.h"
 
@@ -200,8 +200,11 @@
 Soak::Fault Soak::connectionFault(const std::string &name, FaultProxy &proxy)
 {
     using Mode = FaultProxy::Mode;
-    static const std::vector<std::pair<const char *, Mode>> modes
-        = {{"delay", Mode::Delay}, {"reset", Mode::Reset}, {"cut-answers", Mode::CutAnswers}, {"cut-requests", Mode::CutRequests}, {"silence", Mode::Silence}};
+    static const std::vector<std::pair<const char *, Mode>> modes = {{"delay", Mode::Delay},
+        {"reset", Mode::Reset},
+        {"cut-answers", Mode::HoldResponses},
+        {"cut-requests", Mode::HoldRequests},
+        {"silence", Mode::HoldBoth}};
     const auto &chosen = modes[m_random() % modes.size()];
     const auto mode = chosen.second;
     const Milliseconds delay(20 + m_random() % 300);
@@ -287,7 +290,7 @@
     load.timeout = Milliseconds(2500);
     load.seed = m_options.seed;
     load.idPrefix = prefix;
-    load.dialect = Platform::callDialect();
+    load.headerNames = Platform::callHeaderNames();
     load.host = Host;
     return LoadGenerator(load).run();
 }
@@ -295,7 +298,7 @@
 void Soak::checkCalls(const std::vector<CallRecord> &records)
 {
     std::map<std::string, int> runs;
-    for (const auto &id : m_fleet.runs()) {
+    for (const auto &id : m_fleet.executedCalls()) {
         ++runs[id];
     }
     for (const auto &record : records) {
@@ -306,7 +309,7 @@
         if (record.outcome == CallOutcome::NotRun && record.status != 0 && count > 0) {
             addViolation("not-run", fmt::format("call {} was rejected with status {}, but ran", record.id, record.status));
         }
-        if (record.outcome == CallOutcome::Crossed) {
+        if (record.outcome == CallOutcome::Mismatched) {
             addViolation("own-answer", record.id + " got the response to another call");
         }
         if (record.status == 404) {
@@ -319,7 +322,7 @@
 {
     HttpRequest request(http::verb::get, path, 11);
     request.set(http::field::host, Host);
-    request.set(Platform::callDialect().requestId, fmt::format("check-{}-{}", node, Clock::now().time_since_epoch().count()));
+    request.set(Platform::callHeaderNames().requestId, fmt::format("check-{}-{}", node, Clock::now().time_since_epoch().count()));
     const auto response = blockingExchange(m_fleet.ingress(node), std::move(request), Milliseconds(2000));
     return response ? static_cast<int>(response->result_int()) : 0;
 }
--- a/src/adapters/codec/binarycodec.cpp
+++ b/src/adapters/codec/binarycodec.cpp
@@ -52,7 +52,7 @@
 Result<GossipMessage> decodeGossip(const std::string &bytes)
 {
     auto message = decodeValue<GossipMessage>(bytes, "datagram");
-    if (message && message->kind > GossipKind::Introduce) {
+    if (message && message->kind > GossipKind::RecordRequest) {
         return failure(ErrorKind::Corrupt, "datagram of unknown kind; check that all nodes run the same version");
     }
     return message;
--- a/src/adapters/http/bodysource.h
+++ b/src/adapters/http/bodysource.h
@@ -22,7 +22,7 @@
     virtual bool done() const = 0;
 
     // Whether reading has begun.
-    virtual bool taken() const = 0;
+    virtual bool readStarted() const = 0;
 
     // Length of the complete body, if the sender stated it.
     virtual std::optional<std::uint64_t> length() const = 0;
