--- a/src/adapters/http/clientexchange.cpp
+++ b/src/adapters/http/clientexchange.cpp
@@ -74,7 +74,7 @@
         return m_exchange->m_reader->done();
     }
 
-    bool taken() const override
+    bool readStarted() const override
     {
         return m_readStarted;
     }
@@ -118,7 +118,7 @@
         m_sent ? ErrorKind::OutcomeUnknown : ErrorKind::Unavailable, fmt::format("{}: {}: {}", toString(m_connection->owner->endpoint), what, reason));
 }
 
-asio::awaitable<Result<HttpResponse>> ClientExchange::run(HttpRequest &request, TimePoint deadline, HttpClient::Companions exchangeOptions)
+asio::awaitable<Result<HttpResponse>> ClientExchange::run(HttpRequest &request, TimePoint deadline, HttpClient::ExchangeOptions exchangeOptions)
 {
     auto &channel = m_connection->channel;
     channel.deadline.set(deadline);
@@ -141,7 +141,7 @@
     }
     // If a target responds to a request twice, the second response arrives where the next request
     // on the connection expects its own.
-    while (!error && exchangeOptions.belongs && !exchangeOptions.belongs(m_reader->fields())) {
+    while (!error && exchangeOptions.matchesRequest && !exchangeOptions.matchesRequest(m_reader->fields())) {
         error = co_await discardResponse();
         if (!error) {
             error = co_await readHeader(false);
@@ -152,7 +152,7 @@
     }
     HttpResponse response(m_reader->takeHeader());
     m_serverKeepAlive = serverKeepAlive(response);
-    error = co_await readBody(response, exchangeOptions.answerBody != nullptr);
+    error = co_await readBody(response, exchangeOptions.responseBody != nullptr);
     if (error) {
         co_return exchangeFailure("the response is incomplete", error);
     }
@@ -160,15 +160,15 @@
         finish();
     } else {
         channel.deadline.clear();
-        *exchangeOptions.answerBody = std::make_unique<ResponseBody>(shared_from_this());
+        *exchangeOptions.responseBody = std::make_unique<ResponseBody>(shared_from_this());
     }
     co_return response;
 }
 
-asio::awaitable<ErrorCode> ClientExchange::send(HttpRequest &request, const HttpClient::Companions &exchangeOptions)
+asio::awaitable<ErrorCode> ClientExchange::send(HttpRequest &request, const HttpClient::ExchangeOptions &exchangeOptions)
 {
     const bool streamed = exchangeOptions.requestBody != nullptr;
-    const bool expectContinue = exchangeOptions.askFirst && (streamed || request.body().size() > ExpectContinueBytes);
+    const bool expectContinue = exchangeOptions.expectContinue && (streamed || request.body().size() > ExpectContinueBytes);
     m_sent = true;
     if (!streamed && !expectContinue) {
         setLength(request);
@@ -189,7 +189,7 @@
 
 // Sends the header, and waits for 100 Continue if the server is to be asked first. After a final
 // response, such as a rejection, the body isn't sent.
-asio::awaitable<ErrorCode> ClientExchange::sendHeader(HttpRequest &request, const HttpClient::Companions &exchangeOptions, bool expectContinue)
+asio::awaitable<ErrorCode> ClientExchange::sendHeader(HttpRequest &request, const HttpClient::ExchangeOptions &exchangeOptions, bool expectContinue)
 {
     http::request<http::empty_body> header(request.base());
     const auto length = exchangeOptions.requestBody != nullptr ? exchangeOptions.requestBody->length() : std::optional<std::uint64_t>(request.body().size());
@@ -307,7 +307,7 @@
 {
     const bool clean = m_reader->keepAlive() && m_connection->channel.buffer.size() == 0 && !m_notReusable && !m_aborted;
     if (clean) {
-        m_pool->giveBack(std::move(m_connection), m_serverKeepAlive);
+        m_pool->release(std::move(m_connection), m_serverKeepAlive);
     }
     m_connection.reset();
 }
--- a/src/adapters/http/clientexchange.h
+++ b/src/adapters/http/clientexchange.h
@@ -14,7 +14,7 @@
 
     // Sends the request and reads the response. An error means that the outcome is unknown, or
     // that no byte was sent if `sent` is false.
-    asio::awaitable<Result<HttpResponse>> run(HttpRequest &request, TimePoint deadline, HttpClient::Companions exchangeOptions);
+    asio::awaitable<Result<HttpResponse>> run(HttpRequest &request, TimePoint deadline, HttpClient::ExchangeOptions exchangeOptions);
 
     // Whether any byte may have been sent.
     bool sent() const;
@@ -25,8 +25,8 @@
 private:
     class ResponseBody;
 
-    asio::awaitable<ErrorCode> send(HttpRequest &request, const HttpClient::Companions &exchangeOptions);
-    asio::awaitable<ErrorCode> sendHeader(HttpRequest &request, const HttpClient::Companions &exchangeOptions, bool expectContinue);
+    asio::awaitable<ErrorCode> send(HttpRequest &request, const HttpClient::ExchangeOptions &exchangeOptions);
+    asio::awaitable<ErrorCode> sendHeader(HttpRequest &request, const HttpClient::ExchangeOptions &exchangeOptions, bool expectContinue);
     asio::awaitable<ErrorCode> sendBufferedBody(const HttpRequest &request);
     asio::awaitable<ErrorCode> sendBody(HttpRequest &request, BodySource &rest);
     asio::awaitable<ErrorCode> readHeader(bool untilContinue);
--- a/src/adapters/http/connectionpool.cpp
+++ b/src/adapters/http/connectionpool.cpp
@@ -115,15 +115,15 @@
     }
     channel.prepare();
     if (m_options.unackedTimeout.count() > 0) {
-        channel.limitUnacked(m_options.unackedTimeout);
+        channel.setUnackedTimeout(m_options.unackedTimeout);
     }
     if (m_options.keepAliveProbes) {
-        channel.probeWhenQuiet();
+        channel.enableKeepAliveProbes();
     }
     co_return connection;
 }
 
-void ConnectionPool::giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive)
+void ConnectionPool::release(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive)
 {
     auto &idle = connection->owner->idle;
     if (idle.size() >= m_options.maxIdlePerEndpoint) {
--- a/src/adapters/http/connectionpool.h
+++ b/src/adapters/http/connectionpool.h
@@ -65,7 +65,7 @@
 
     // Returns a connection for reuse, limited by the server's keep-alive time. Closes it if there
     // are enough idle ones.
-    void giveBack(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive = Milliseconds::max());
+    void release(std::unique_ptr<ClientConnection> connection, Milliseconds serverKeepAlive = Milliseconds::max());
 
     void closeIdle(const Endpoint &endpoint);
 
--- a/src/adapters/http/httpclient.cpp
+++ b/src/adapters/http/httpclient.cpp
@@ -32,10 +32,10 @@
 
 asio::awaitable<Result<HttpResponse>> HttpClient::exchange(Endpoint endpoint, HttpRequest request, TimePoint deadline)
 {
-    co_return co_await exchange(endpoint, request, deadline, Companions());
+    co_return co_await exchange(endpoint, request, deadline, ExchangeOptions());
 }
 
-asio::awaitable<Result<HttpResponse>> HttpClient::exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, Companions exchangeOptions)
+asio::awaitable<Result<HttpResponse>> HttpClient::exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, ExchangeOptions exchangeOptions)
 {
     const auto self = d;
     if (self->options.reachable && !self->options.reachable(endpoint)) {
@@ -57,7 +57,7 @@
         connection = std::move(*connected);
     }
     if (isCancelled()) {
-        pool.giveBack(std::move(connection));
+        pool.release(std::move(connection));
         co_return failure(ErrorKind::Unavailable, toString(endpoint) + ": the request was cancelled before it was sent");
     }
     const auto exchange = std::make_shared<ClientExchange>(self->pool, std::move(connection), self->options);
@@ -81,7 +81,7 @@
         if (!connected) {
             co_return;
         }
-        self->pool->giveBack(std::move(*connected));
+        self->pool->release(std::move(*connected));
     }
 }
 
--- a/src/adapters/http/httpclient.h
+++ b/src/adapters/http/httpclient.h
@@ -46,22 +46,22 @@
     };
 
     // Options of a single exchange.
-    struct Companions
+    struct ExchangeOptions
     {
         // Aborts the exchange and closes its connection when cancelled.
         Cancellation *cancellation = nullptr;
         // The rest of the request's body. If `expectContinue` is set, it is read only once the
         // server has sent 100 Continue.
         BodySource *requestBody = nullptr;
-        bool askFirst = false;
+        bool expectContinue = false;
         // A connection that has been idle for longer isn't used; a new one is made instead.
         Milliseconds maxIdle = std::chrono::hours(24);
         // Whether a response with these header fields belongs to the request. One that doesn't is
         // read and discarded. Null: every response does.
-        std::function<bool(const http::fields &)> belongs;
+        std::function<bool(const http::fields &)> matchesRequest;
         // Receives the rest of a response's body that is too long to be buffered. It isn't subject
         // to the exchange's deadline; each part has its own time limit.
-        std::unique_ptr<BodySource> *answerBody = nullptr;
+        std::unique_ptr<BodySource> *responseBody = nullptr;
     };
 
     HttpClient(asio::io_context &context, Options options);
@@ -75,7 +75,7 @@
 
     // The same with options, for a request that the caller keeps. The request must outlive the
     // exchange, which sets only its length fields.
-    asio::awaitable<Result<HttpResponse>> exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, Companions exchangeOptions);
+    asio::awaitable<Result<HttpResponse>> exchange(const Endpoint &endpoint, HttpRequest &request, TimePoint deadline, ExchangeOptions exchangeOptions);
 
     // Opens connections to the endpoint until `count` are open.
     asio::awaitable<void> warm(Endpoint endpoint, std::size_t count, TimePoint deadline);
--- a/src/adapters/http/httpserver.cpp
+++ b/src/adapters/http/httpserver.cpp
@@ -106,7 +106,7 @@
 {
     HttpServerConnection *oldest = nullptr;
     for (const auto &connection : connections) {
-        if (!connection->handling() && (oldest == nullptr || connection->since() < oldest->since())) {
+        if (!connection->handling() && (oldest == nullptr || connection->waitingSince() < oldest->waitingSince())) {
             oldest = connection.get();
         }
     }
@@ -124,12 +124,12 @@
     connections.erase(connection);
 }
 
-void HttpServer::limitPeers(const CallerLimits &limits)
+void HttpServer::setLimits(const CallerLimits &limits)
 {
     d->state->options.limits = limits;
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeAfterResponses()
 {
     d->state->draining = true;
 }
--- a/src/adapters/http/httpserver.h
+++ b/src/adapters/http/httpserver.h
@@ -31,7 +31,7 @@
         std::size_t bufferedBodyBytes = 64 * 1024;
         // Limit for the buffered bodies of all connections. Beyond it, bodies of any length are
         // passed to the handler while they arrive.
-        std::size_t heldBodyBytes = 64 * 1024 * 1024;
+        std::size_t totalBufferedBytes = 64 * 1024 * 1024;
         // Whether peers that send Expect: 100-continue always wait for 100 Continue before they
         // send the body. The handler then decides whether the body is sent, and the connection
         // can be reused after a rejection.
@@ -43,7 +43,7 @@
         // Whether a pipelined request may run before the earlier ones of its connection are
         // answered. It must be safe to run twice, since the peer sends it again if an earlier
         // response closes the connection. Null: none may.
-        std::function<bool(const HttpRequest &request)> mayRunAhead;
+        std::function<bool(const HttpRequest &request)> mayPipeline;
     };
 
     HttpServer(asio::io_context &context, Options options);
@@ -53,11 +53,11 @@
     Result<void> listen();
 
     // Replaces the limits; they apply from each connection's next request on.
-    void limitPeers(const CallerLimits &limits);
+    void setLimits(const CallerLimits &limits);
 
     // Closes each connection after its next response, which says Connection: close. New connections
     // are still accepted.
-    void closeAfterAnswers();
+    void closeAfterResponses();
 
     // Stops accepting connections and closes each one after its next response. Connections without
     // a request stay open until closeIdle() is called.
--- a/src/adapters/http/httpserverconnection.cpp
+++ b/src/adapters/http/httpserverconnection.cpp
@@ -40,7 +40,7 @@
         if (m_exchange.started) {
             --m_connection.m_started;
             --m_connection.m_state->inFlight;
-            m_connection.m_state->ahead -= m_isAhead ? 1 : 0;
+            m_connection.m_state->runningAhead -= m_isAhead ? 1 : 0;
         }
         m_connection.removeFromPipeline(m_exchange);
     }
@@ -54,7 +54,7 @@
         m_exchange.started = true;
         ++m_connection.m_started;
         ++m_connection.m_state->inFlight;
-        m_connection.m_state->ahead += m_isAhead ? 1 : 0;
+        m_connection.m_state->runningAhead += m_isAhead ? 1 : 0;
     }
 
 private:
@@ -137,7 +137,7 @@
     return m_started > 0;
 }
 
-TimePoint HttpServerConnection::since() const
+TimePoint HttpServerConnection::waitingSince() const
 {
     return m_waitingSince;
 }
@@ -152,9 +152,9 @@
     return m_state->options;
 }
 
-std::uint64_t &HttpServerConnection::heldBytes()
+std::uint64_t &HttpServerConnection::bufferedBytes()
 {
-    return m_state->heldBytes;
+    return m_state->bufferedBytes;
 }
 
 bool HttpServerConnection::draining() const
@@ -172,7 +172,7 @@
     return m_peerAddress;
 }
 
-void HttpServerConnection::limitTime(Milliseconds time)
+void HttpServerConnection::setTimeLimit(Milliseconds time)
 {
     m_watching = false;
     m_channel.deadline.set(Clock::now() + time);
@@ -190,7 +190,7 @@
     }
     m_reading = Reading::Idle;
     if (m_pipeline.empty()) {
-        limitTime(m_state->options.limits.idleTimeout);
+        setTimeLimit(m_state->options.limits.idleTimeout);
     }
     m_channel.releaseBuffer();
     const auto error = co_await m_channel.readMore();
@@ -208,7 +208,7 @@
     HttpRequest request;
     m_reading = Reading::Request;
     if (m_pipeline.empty()) {
-        limitTime(m_state->options.limits.headerTimeout);
+        setTimeLimit(m_state->options.limits.headerTimeout);
     }
     auto requestError = co_await exchange.readHeader(request);
     m_reading = Reading::Nothing;
@@ -227,7 +227,7 @@
             co_return false;
         }
     }
-    if (!requestError && !exchange.whole()) {
+    if (!requestError && !exchange.isComplete()) {
         m_reading = Reading::Request;
         requestError = co_await exchange.readBody(request);
         m_reading = Reading::Nothing;
@@ -238,7 +238,7 @@
     }
     m_channel.deadline.clear();
     entry.start();
-    if (exchange.quiet()) {
+    if (exchange.noBytesPending()) {
         watchPeer();
         readAhead();
     }
@@ -246,8 +246,8 @@
     if (exchange.cancellation().cancelled()) {
         co_return false;
     }
-    co_await exchange.answer(std::move(response));
-    const bool leftUnread = !exchange.quiet() || (!exchange.keepsConnection() && m_channel.buffer.size() > 0);
+    co_await exchange.respond(std::move(response));
+    const bool leftUnread = !exchange.noBytesPending() || (!exchange.keepsConnection() && m_channel.buffer.size() > 0);
     if (leftUnread && !exchange.failed()) {
         co_await linger();
         co_return false;
@@ -261,7 +261,7 @@
 bool HttpServerConnection::mayPipeline(const ServerExchange &exchange, const HttpRequest &request) const
 {
     const auto &options = m_state->options;
-    return exchange.whole() && m_state->ahead < MaxRunningAhead && options.mayRunAhead && options.mayRunAhead(request);
+    return exchange.isComplete() && m_state->runningAhead < MaxRunningAhead && options.mayPipeline && options.mayPipeline(request);
 }
 
 // An exception of the handler must not end the connection's coroutine: the request would count
@@ -279,12 +279,12 @@
     co_return exchange.handlerFailed(reason);
 }
 
-asio::awaitable<void> HttpServerConnection::reject(ServerExchange &exchange, RequestFault requestError)
+asio::awaitable<void> HttpServerConnection::reject(ServerExchange &exchange, RequestError requestError)
 {
     if (requestError.status == http::status::unknown) {
         co_return;
     }
-    const auto error = co_await exchange.refuse(std::move(requestError));
+    const auto error = co_await exchange.reject(std::move(requestError));
     if (!error) {
         co_await linger();
     }
@@ -294,7 +294,7 @@
 {
     ErrorCode error;
     m_channel.socket.shutdown(Tcp::socket::shutdown_send, error);
-    limitTime(LingerTime);
+    setTimeLimit(LingerTime);
     std::size_t discarded = 0;
     while (!error && discarded < LingerBytes) {
         discarded += m_channel.buffer.size();
@@ -318,12 +318,12 @@
     co_return !m_closed;
 }
 
-void HttpServerConnection::endWithAnswer()
+void HttpServerConnection::closeAfterResponse()
 {
     m_closesAfterResponse = true;
 }
 
-bool HttpServerConnection::startedBehind(const ServerExchange &exchange) const
+bool HttpServerConnection::hasStartedAfter(const ServerExchange &exchange) const
 {
     const auto entry = std::find(m_pipeline.begin(), m_pipeline.end(), &exchange);
     return std::any_of(entry + 1, m_pipeline.end(), [](const auto *later) { return later->started; });
@@ -345,7 +345,7 @@
     }
     const auto &limits = m_state->options.limits;
     if (m_reading != Reading::Nothing) {
-        limitTime(m_reading == Reading::Idle ? limits.idleTimeout : limits.headerTimeout);
+        setTimeLimit(m_reading == Reading::Idle ? limits.idleTimeout : limits.headerTimeout);
     }
 }
 
@@ -353,9 +353,9 @@
 // request. Not while the server drains: the peer sends unread requests again to another node.
 void HttpServerConnection::readAhead()
 {
-    const bool wanted = m_state->options.mayRunAhead && m_channel.buffer.size() > 0 && !m_state->draining && !m_closesAfterResponse;
+    const bool wanted = m_state->options.mayPipeline && m_channel.buffer.size() > 0 && !m_state->draining && !m_closesAfterResponse;
     const bool handled = m_reading == Reading::Nothing && !m_pipeline.empty() && m_pipeline.back()->started;
-    if (!wanted || !handled || !m_pipeline.back()->whole() || !m_pipeline.back()->keepsConnection() || m_pipeline.size() >= MaxPipelined) {
+    if (!wanted || !handled || !m_pipeline.back()->isComplete() || !m_pipeline.back()->keepsConnection() || m_pipeline.size() >= MaxPipelined) {
         return;
     }
     m_reading = Reading::Request;
@@ -386,7 +386,7 @@
 {
     auto &buffer = m_channel.buffer;
     const auto space = buffer.max_size() - buffer.size();
-    if (m_reading != Reading::Nothing || m_pipeline.empty() || !m_pipeline.back()->quiet() || space == 0) {
+    if (m_reading != Reading::Nothing || m_pipeline.empty() || !m_pipeline.back()->noBytesPending() || space == 0) {
         return;
     }
     ErrorCode error;
--- a/src/adapters/http/httpserverconnection.h
+++ b/src/adapters/http/httpserverconnection.h
@@ -14,9 +14,9 @@
     std::atomic<std::uint64_t> bytes = 0;
     std::size_t inFlight = 0;
     // Total length of the request bodies buffered in memory.
-    std::uint64_t heldBytes = 0;
+    std::uint64_t bufferedBytes = 0;
     // Requests being handled while an earlier one of their connection is not yet answered.
-    std::size_t ahead = 0;
+    std::size_t runningAhead = 0;
     bool draining = false;
 };
 
@@ -47,16 +47,16 @@
     bool handling() const;
 
     // When the connection began to wait for its current request.
-    TimePoint since() const;
+    TimePoint waitingSince() const;
 
     // Used by the connection's exchanges.
     TcpChannel &channel();
     const HttpServer::Options &options() const;
-    std::uint64_t &heldBytes();
+    std::uint64_t &bufferedBytes();
     bool draining() const;
     bool peerClosed();
     std::string peerAddress() const;
-    void limitTime(Milliseconds time);
+    void setTimeLimit(Milliseconds time);
     void watchPeer();
 
     // Whether all responses before that of the exchange have been sent.
@@ -67,10 +67,10 @@
     asio::awaitable<bool> waitTurn(ServerExchange &exchange);
 
     // Makes the response that is about to be sent the last one; later requests are ignored.
-    void endWithAnswer();
+    void closeAfterResponse();
 
     // Whether a later request than that of the exchange is being handled.
-    bool startedBehind(const ServerExchange &exchange) const;
+    bool hasStartedAfter(const ServerExchange &exchange) const;
 
 private:
     // What the reading coroutine is doing.
@@ -91,7 +91,7 @@
     asio::awaitable<bool> serveRequest();
     bool mayPipeline(const ServerExchange &exchange, const HttpRequest &request) const;
     asio::awaitable<HttpResponse> handle(ServerExchange &exchange, HttpRequest request);
-    asio::awaitable<void> reject(ServerExchange &exchange, RequestFault requestError);
+    asio::awaitable<void> reject(ServerExchange &exchange, RequestError requestError);
     asio::awaitable<void> linger();
     void readAhead();
     void removeFromPipeline(ServerExchange &exchange);
--- a/src/adapters/http/messagereader.h
+++ b/src/adapters/http/messagereader.h
@@ -71,7 +71,7 @@
     }
 
     // Why the header was rejected, if readHeader() failed because of its bytes.
-    const std::optional<RequestFault> &fault() const
+    const std::optional<RequestError> &requestError() const
     {
         return m_requestError;
     }
@@ -89,7 +89,7 @@
     TcpChannel &m_channel;
     std::uint32_t m_maxHeaderBytes;
     http::parser<IsRequest, http::buffer_body> m_parser;
-    std::optional<RequestFault> m_requestError;
+    std::optional<RequestError> m_requestError;
 };
 
 template <bool IsRequest>
--- a/src/adapters/http/requestcheck.cpp
+++ b/src/adapters/http/requestcheck.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view HeaderEnd = "\r\n\r\n";
 constexpr std::string_view HttpScheme = "http://";
 
-RequestFault badRequest(std::string message)
+RequestError badRequest(std::string message)
 {
     return {http::status::bad_request, std::move(message)};
 }
@@ -23,7 +23,7 @@
 // Allows either one Content-Length of digits only, or one Transfer-Encoding that is "chunked".
 // Beast accepts repeated equal lengths and lists of them, and treats other codings as an absent
 // body.
-std::optional<RequestFault> checkLength(const http::request_header<> &header)
+std::optional<RequestError> checkLength(const http::request_header<> &header)
 {
     const auto lengths = header.count(http::field::content_length);
     const auto codings = header.count(http::field::transfer_encoding);
@@ -34,12 +34,12 @@
         return badRequest("Content-Length is not a number; send digits only");
     }
     if (codings == 1 && (header.version() < 11 || !boost::algorithm::iequals(header[http::field::transfer_encoding], "chunked"))) {
-        return RequestFault{http::status::not_implemented, "unsupported Transfer-Encoding; only chunked is supported, in HTTP/1.1"};
+        return RequestError{http::status::not_implemented, "unsupported Transfer-Encoding; only chunked is supported, in HTTP/1.1"};
     }
     return std::nullopt;
 }
 
-std::optional<RequestFault> checkHost(const http::request_header<> &header)
+std::optional<RequestError> checkHost(const http::request_header<> &header)
 {
     const auto hosts = header.count(http::field::host);
     if (hosts > 1 || (hosts == 0 && header.version() >= 11)) {
@@ -49,7 +49,7 @@
 }
 
 // The host of a target in absolute form takes precedence over the Host field (RFC 7230, 5.4).
-std::optional<RequestFault> normalizeTarget(http::request_header<> &header)
+std::optional<RequestError> normalizeTarget(http::request_header<> &header)
 {
     const std::string target(header.target());
     if (boost::algorithm::istarts_with(target, HttpScheme)) {
@@ -74,7 +74,7 @@
     return end == std::string_view::npos ? 0 : end + HeaderEnd.size();
 }
 
-std::optional<RequestFault> checkHeaderBytes(std::string_view header)
+std::optional<RequestError> checkHeaderBytes(std::string_view header)
 {
     if (header.find('\0') != std::string_view::npos) {
         return badRequest("the request header contains a NUL byte");
@@ -91,7 +91,7 @@
     return std::nullopt;
 }
 
-std::optional<RequestFault> checkHeader(http::request_header<> &header)
+std::optional<RequestError> checkHeader(http::request_header<> &header)
 {
     if (auto error = checkLength(header)) {
         return error;
--- a/src/adapters/http/requestcheck.h
+++ b/src/adapters/http/requestcheck.h
@@ -10,7 +10,7 @@
 
 // Why the server rejects a request before its handler sees it. The connection is closed after
 // the error response, since the start of the next request is no longer certain.
-struct RequestFault
+struct RequestError
 {
     http::status status = http::status::bad_request;
     std::string message;
@@ -24,10 +24,10 @@
 // differently: a bare LF, a folded line, a NUL. Beast accepts some of them. If they were
 // forwarded, the target might see a second request that no route or limit has been applied to
 // (request smuggling). Clients that follow RFC 7230 don't send them.
-std::optional<RequestFault> checkHeaderBytes(std::string_view header);
+std::optional<RequestError> checkHeaderBytes(std::string_view header);
 
 // Checks the body's length, the Host field and the request target, and converts the target to
 // origin form.
-std::optional<RequestFault> checkHeader(http::request_header<> &header);
+std::optional<RequestError> checkHeader(http::request_header<> &header);
 
 }
--- a/src/adapters/http/serverexchange.cpp
+++ b/src/adapters/http/serverexchange.cpp
@@ -35,7 +35,7 @@
     {
         m_readStarted = true;
         auto &connection = m_exchange.m_connection;
-        connection.limitTime(connection.options().readTimeout);
+        connection.setTimeLimit(connection.options().readTimeout);
         ErrorCode error = co_await m_exchange.sendContinue();
         if (!error) {
             error = co_await m_exchange.m_reader.readBody(part, limit);
@@ -53,7 +53,7 @@
         return m_exchange.m_reader.done();
     }
 
-    bool taken() const override
+    bool readStarted() const override
     {
         return m_readStarted;
     }
@@ -78,10 +78,10 @@
 
 ServerExchange::~ServerExchange()
 {
-    m_connection.heldBytes() -= m_bufferedBytes;
+    m_connection.bufferedBytes() -= m_bufferedBytes;
 }
 
-asio::awaitable<std::optional<RequestFault>> ServerExchange::readHeader(HttpRequest &request)
+asio::awaitable<std::optional<RequestError>> ServerExchange::readHeader(HttpRequest &request)
 {
     const auto error = co_await m_reader.readHeader();
     if (error) {
@@ -98,7 +98,7 @@
     const auto expected = request[http::field::expect];
     m_continueExpected = boost::algorithm::iequals(expected, "100-continue") && request.version() >= 11;
     if (!expected.empty() && !m_continueExpected) {
-        co_return RequestFault{http::status::expectation_failed, "unsupported Expect field; only 100-continue is supported"};
+        co_return RequestError{http::status::expectation_failed, "unsupported Expect field; only 100-continue is supported"};
     }
     request.erase(http::field::expect);
     co_return std::nullopt;
@@ -118,20 +118,20 @@
         return true;
     }
     const auto length = m_reader.contentLength().value_or(0);
-    return !peerAwaitsContinue() && length <= options.bufferedBodyBytes && m_connection.heldBytes() + length <= options.heldBodyBytes;
+    return !peerAwaitsContinue() && length <= options.bufferedBodyBytes && m_connection.bufferedBytes() + length <= options.totalBufferedBytes;
 }
 
-asio::awaitable<std::optional<RequestFault>> ServerExchange::readBody(HttpRequest &request)
+asio::awaitable<std::optional<RequestError>> ServerExchange::readBody(HttpRequest &request)
 {
     const auto &options = m_connection.options();
     const auto length = m_reader.contentLength();
-    m_connection.limitTime(options.readTimeout);
+    m_connection.setTimeLimit(options.readTimeout);
     const bool buffered = buffersBody();
     // If the string grew step by step, a body of several hundred kilobytes would take twice its
     // size for a moment.
     if (buffered && length) {
         m_bufferedBytes = *length;
-        m_connection.heldBytes() += m_bufferedBytes;
+        m_connection.bufferedBytes() += m_bufferedBytes;
         request.body().reserve(*length);
     }
     while (buffered && !m_reader.done() && !(options.streamBodies && request.body().size() >= options.bufferedBodyBytes)) {
@@ -160,25 +160,25 @@
     co_return co_await m_channel.write(line);
 }
 
-std::optional<RequestFault> ServerExchange::requestErrorOf(const ErrorCode &error) const
+std::optional<RequestError> ServerExchange::requestErrorOf(const ErrorCode &error) const
 {
-    if (m_reader.fault()) {
-        return m_reader.fault();
+    if (m_reader.requestError()) {
+        return m_reader.requestError();
     }
     if (error == http::error::header_limit) {
-        return RequestFault{http::status::request_header_fields_too_large, "the request header exceeds this server's limit; shorten it"};
+        return RequestError{http::status::request_header_fields_too_large, "the request header exceeds this server's limit; shorten it"};
     }
     if (error == http::error::body_limit) {
-        return RequestFault{http::status::payload_too_large, "the request body exceeds this server's limit; shorten it"};
+        return RequestError{http::status::payload_too_large, "the request body exceeds this server's limit; shorten it"};
     }
     if (error == asio::error::timed_out) {
-        return RequestFault{http::status::request_timeout, "the request did not arrive completely within the time limit; send it without pauses"};
+        return RequestError{http::status::request_timeout, "the request did not arrive completely within the time limit; send it without pauses"};
     }
     const bool malformed = error.category() == http::make_error_code(http::error::bad_method).category() && error != http::error::partial_message;
     if (malformed || error == boost::system::errc::no_buffer_space) {
-        return RequestFault{http::status::bad_request, "malformed request: " + error.message()};
+        return RequestError{http::status::bad_request, "malformed request: " + error.message()};
     }
-    return RequestFault{http::status::unknown, {}};
+    return RequestError{http::status::unknown, {}};
 }
 
 HttpResponse ServerExchange::handlerFailed(const std::string &reason)
@@ -194,11 +194,11 @@
 // run yet count as not read.
 bool ServerExchange::keepsAfterResponse() const
 {
-    const bool continues = !m_connection.draining() || m_connection.startedBehind(*this);
-    return m_keepAlive && !m_failed && quiet() && continues;
+    const bool continues = !m_connection.draining() || m_connection.hasStartedAfter(*this);
+    return m_keepAlive && !m_failed && noBytesPending() && continues;
 }
 
-asio::awaitable<void> ServerExchange::answer(HttpResponse response)
+asio::awaitable<void> ServerExchange::respond(HttpResponse response)
 {
     if (m_responded) {
         co_return;
@@ -213,7 +213,7 @@
     }
     m_keepAlive = keepsAfterResponse();
     if (!m_keepAlive) {
-        m_connection.endWithAnswer();
+        m_connection.closeAfterResponse();
     }
     response.version(m_version);
     response.keep_alive(m_keepAlive);
@@ -227,7 +227,7 @@
     if (m_isHead) {
         response.body().clear();
     }
-    m_connection.limitTime(m_connection.options().readTimeout);
+    m_connection.setTimeLimit(m_connection.options().readTimeout);
     const auto error = co_await m_channel.writeMessage(response);
     m_failed = m_failed || error;
 }
@@ -247,7 +247,7 @@
     const bool chunked = !length && m_version >= 11;
     m_keepAlive = keepsAfterResponse() && (length || chunked);
     if (!m_keepAlive) {
-        m_connection.endWithAnswer();
+        m_connection.closeAfterResponse();
     }
     std::string part = std::move(response.body());
     http::response<http::empty_body> header(std::move(response.base()));
@@ -258,7 +258,7 @@
     } else {
         header.chunked(chunked);
     }
-    m_connection.limitTime(m_connection.options().readTimeout);
+    m_connection.setTimeLimit(m_connection.options().readTimeout);
     ErrorCode error = co_await m_channel.writeHeader(header);
     if (!error) {
         error = co_await sendParts(std::move(part), rest, chunked);
@@ -276,7 +276,7 @@
             error = co_await rest.read(part, PartBytes);
             continue;
         }
-        m_connection.limitTime(timeout);
+        m_connection.setTimeLimit(timeout);
         const auto buffer = asio::buffer(part);
         if (chunked) {
             const auto chunk = http::make_chunk(buffer);
@@ -288,28 +288,28 @@
     }
     if (!error && chunked) {
         const auto last = http::make_chunk_last();
-        m_connection.limitTime(timeout);
+        m_connection.setTimeLimit(timeout);
         error = co_await m_channel.write(last);
     }
     co_return error;
 }
 
-asio::awaitable<ErrorCode> ServerExchange::refuse(RequestFault requestError)
+asio::awaitable<ErrorCode> ServerExchange::reject(RequestError requestError)
 {
-    m_connection.endWithAnswer();
+    m_connection.closeAfterResponse();
     auto response = makeErrorResponse(requestError.status, "invalid", requestError.message);
     response.set(CallHeaders::Outcome, CallHeaders::NotRun);
     response.keep_alive(false);
-    m_connection.limitTime(m_connection.options().readTimeout);
+    m_connection.setTimeLimit(m_connection.options().readTimeout);
     co_return co_await m_channel.writeMessage(response);
 }
 
-bool ServerExchange::whole() const
+bool ServerExchange::isComplete() const
 {
     return m_reader.done();
 }
 
-bool ServerExchange::quiet() const
+bool ServerExchange::noBytesPending() const
 {
     return m_reader.done() || peerAwaitsContinue();
 }
--- a/src/adapters/http/serverexchange.h
+++ b/src/adapters/http/serverexchange.h
@@ -20,26 +20,26 @@
 
     // Reads the request's header. An error with status `unknown` means that the peer disconnected,
     // so that no response can be sent.
-    asio::awaitable<std::optional<RequestFault>> readHeader(HttpRequest &request);
+    asio::awaitable<std::optional<RequestError>> readHeader(HttpRequest &request);
 
     // Reads the part of the body that is buffered; the handler reads the rest.
-    asio::awaitable<std::optional<RequestFault>> readBody(HttpRequest &request);
+    asio::awaitable<std::optional<RequestError>> readBody(HttpRequest &request);
 
     // Sends the handler's response, unless the handler has already streamed one.
-    asio::awaitable<void> answer(HttpResponse response);
+    asio::awaitable<void> respond(HttpResponse response);
 
     // Sends the error response to a request that couldn't be read.
-    asio::awaitable<ErrorCode> refuse(RequestFault requestError);
+    asio::awaitable<ErrorCode> reject(RequestError requestError);
 
     // Makes the response for a handler that threw; the outcome of the request is unknown.
     HttpResponse handlerFailed(const std::string &reason);
 
     // Whether the request has been read completely.
-    bool whole() const;
+    bool isComplete() const;
 
     // Whether the peer sends nothing more of the request for now: it has been read completely, or
     // the peer waits for 100 Continue.
-    bool quiet() const;
+    bool noBytesPending() const;
 
     // Whether the connection can carry another request after this one.
     bool keepsConnection() const;
@@ -64,7 +64,7 @@
 
     asio::awaitable<ErrorCode> sendContinue();
     asio::awaitable<ErrorCode> sendParts(std::string part, BodySource &rest, bool chunked);
-    std::optional<RequestFault> requestErrorOf(const ErrorCode &error) const;
+    std::optional<RequestError> requestErrorOf(const ErrorCode &error) const;
     bool keepsAfterResponse() const;
     bool buffersBody() const;
     bool peerAwaitsContinue() const;
--- a/src/adapters/http/tcpchannel.cpp
+++ b/src/adapters/http/tcpchannel.cpp
@@ -18,14 +18,14 @@
     socket.set_option(Tcp::no_delay(true), ignored);
 }
 
-void TcpChannel::limitUnacked(Milliseconds time)
+void TcpChannel::setUnackedTimeout(Milliseconds time)
 {
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     ErrorCode ignored;
     socket.set_option(UserTimeout(static_cast<int>(time.count())), ignored);
 }
 
-void TcpChannel::probeWhenQuiet()
+void TcpChannel::enableKeepAliveProbes()
 {
     namespace option = asio::detail::socket_option;
     constexpr int Seconds = 1;
--- a/src/adapters/http/tcpchannel.h
+++ b/src/adapters/http/tcpchannel.h
@@ -33,12 +33,12 @@
 
     // Breaks the connection when sent bytes stay unacknowledged for that time (TCP_USER_TIMEOUT): a
     // peer that lost power or its network never acknowledges them, and never resets the connection.
-    void limitUnacked(Milliseconds time);
+    void setUnackedTimeout(Milliseconds time);
 
     // Sends keep-alive probes every second while there is no traffic, and breaks the connection
     // after two unanswered ones. Otherwise a long wait for a response, such as a watch, would
     // outlast its peer by minutes.
-    void probeWhenQuiet();
+    void enableKeepAliveProbes();
 
     // Ends the pending operations with an error.
     void abort();
--- a/src/adapters/platform/documentobjectstore.cpp
+++ b/src/adapters/platform/documentobjectstore.cpp
@@ -63,7 +63,7 @@
 class DocumentObjectStore::Private
 {
 public:
-    Open open;
+    StoreFactory open;
     std::atomic<bool> stopped = false;
     std::atomic<std::uint64_t> calls = 0;
 
@@ -94,7 +94,7 @@
     }
 };
 
-DocumentObjectStore::DocumentObjectStore(Open open)
+DocumentObjectStore::DocumentObjectStore(StoreFactory open)
     : d(std::make_unique<Private>())
 {
     d->open = std::move(open);
--- a/src/adapters/platform/documentobjectstore.h
+++ b/src/adapters/platform/documentobjectstore.h
@@ -17,9 +17,9 @@
 class DocumentObjectStore : public ObjectStore
 {
 public:
-    using Open = std::function<std::unique_ptr<DocumentStore>(HttpClient &client)>;
+    using StoreFactory = std::function<std::unique_ptr<DocumentStore>(HttpClient &client)>;
 
-    explicit DocumentObjectStore(Open open);
+    explicit DocumentObjectStore(StoreFactory open);
     ~DocumentObjectStore() override;
 
     Result<StoredObject> read(const std::string &key) override;
--- a/src/adapters/rpc/rpcclient.cpp
+++ b/src/adapters/rpc/rpcclient.cpp
@@ -35,9 +35,9 @@
 
 RpcClient::~RpcClient() = default;
 
-RpcAnswer RpcClient::call(const std::string &method, const std::string &params)
+RpcResponse RpcClient::call(const std::string &method, const std::string &params)
 {
-    RpcAnswer response;
+    RpcResponse response;
     Json::Value input;
     std::istringstream stream(params);
     std::string errors;
--- a/src/adapters/rpc/rpcclient.h
+++ b/src/adapters/rpc/rpcclient.h
@@ -8,7 +8,7 @@
 
 // The response of a remote method. Has plain types only, since this class is compiled as C++14:
 // libjsonrpccpp's client headers have exception specifications that later standards reject.
-struct RpcAnswer
+struct RpcResponse
 {
     bool ok = false;
     // The result as JSON text, if ok.
@@ -30,7 +30,7 @@
     ~RpcClient();
 
     // Calls the method; `params` is the text of a JSON object.
-    RpcAnswer call(const std::string &method, const std::string &params);
+    RpcResponse call(const std::string &method, const std::string &params);
 
 private:
     class Private;
--- a/src/cli/callstory.cpp
+++ b/src/cli/calltrace.cpp
@@ -1,4 +1,4 @@
-#include "cli/callstory.h"
+#include "cli/calltrace.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -44,13 +44,13 @@
 
 }
 
-CallStory::CallStory(std::string id)
+CallTrace::CallTrace(std::string id)
     : m_id(std::move(id))
 {
 }
 
 // The id of a nested call is its parent call's id followed by a dot and a suffix.
-bool CallStory::isAboutCall(const nlohmann::json &line) const
+bool CallTrace::isAboutCall(const nlohmann::json &line) const
 {
     const auto id = line.find("id");
     if (id == line.end() || !id->is_string()) {
@@ -60,7 +60,7 @@
     return text == m_id || text.rfind(m_id + ".", 0) == 0;
 }
 
-void CallStory::read(std::istream &log)
+void CallTrace::read(std::istream &log)
 {
     std::string line;
     while (std::getline(log, line)) {
@@ -82,7 +82,7 @@
     }
 }
 
-std::int64_t CallStory::timeWithoutSteps(const nlohmann::ordered_json &line, const std::string &node)
+std::int64_t CallTrace::timeWithoutSteps(const nlohmann::ordered_json &line, const std::string &node)
 {
     const auto up = line.find("up_ms");
     if (up == line.end() || !up->is_number_integer()) {
@@ -105,7 +105,7 @@
 
 // Everything that other nodes did for the call happened between its arrival and its end at the
 // ingress. Returns, per node, the smallest shift in milliseconds that puts its lines in that interval.
-std::map<std::string, std::int64_t> CallStory::clockCorrections() const
+std::map<std::string, std::int64_t> CallTrace::clockCorrections() const
 {
     const auto isCallEnd = [this](const Line &line) { return line.fields.value("id", std::string()) == m_id && line.fields.contains("ms"); };
     const auto end = std::find_if(m_lines.begin(), m_lines.end(), isCallEnd);
@@ -126,7 +126,7 @@
     return shifts;
 }
 
-std::vector<CallStory::Line> CallStory::orderedLines() const
+std::vector<CallTrace::Line> CallTrace::orderedLines() const
 {
     const auto shifts = clockCorrections();
     auto lines = m_lines;
@@ -139,17 +139,17 @@
     return lines;
 }
 
-bool CallStory::empty() const
+bool CallTrace::empty() const
 {
     return m_lines.empty();
 }
 
-std::size_t CallStory::unreadable() const
+std::size_t CallTrace::unreadableLines() const
 {
     return m_unreadable;
 }
 
-nlohmann::json CallStory::json() const
+nlohmann::json CallTrace::json() const
 {
     auto lines = nlohmann::json::array();
     for (const auto &line : orderedLines()) {
@@ -164,7 +164,7 @@
     return {{"id", m_id}, {"lines", lines}, {"unreadable", m_unreadable}, {"clock_steps", steps}, {"clock_corrections_ms", clockCorrections()}};
 }
 
-std::string CallStory::table() const
+std::string CallTrace::table() const
 {
     auto text = fmt::format("{:>8}  {:<24} {:<22} {}", "MS", "NODE", "EVENT", "DETAILS");
     const auto lines = orderedLines();
--- a/src/cli/callstory.h
+++ b/src/cli/calltrace.h
@@ -12,17 +12,17 @@
 
 // The log lines of several nodes about one call and its nested calls, in order of time. The order is
 // right even if a node's wall clock stepped or the clocks of nodes differ; the table then reports it.
-class CallStory
+class CallTrace
 {
 public:
-    explicit CallStory(std::string id);
+    explicit CallTrace(std::string id);
 
     // Adds the lines of one log. Text before a line's JSON object is ignored; a line without a
     // complete object is counted as unreadable.
     void read(std::istream &log);
 
     bool empty() const;
-    std::size_t unreadable() const;
+    std::size_t unreadableLines() const;
 
     // The lines as they were logged, and the detected clock steps and differences per node.
     nlohmann::json json() const;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -30,7 +30,7 @@
 // only be used while the history still holds every change.
 std::uint64_t revisionOfApplyId(const std::string &id)
 {
-    return wholeNumber(id.substr(0, id.find('-'))).value_or(0);
+    return parseWholeNumber(id.substr(0, id.find('-'))).value_or(0);
 }
 
 Result<std::string> newApplyId(NodeConnection &node)
@@ -146,7 +146,7 @@
     if (!text) {
         return tl::unexpected(text.error());
     }
-    return changeFile(options, {{"file", fileNameOf(options)}, {"text", *text}});
+    return changeFile(options, {{"file", configFileName(options)}, {"text", *text}});
 }
 
 Result<void> removeFile(const CommandOptions &options)
@@ -160,7 +160,7 @@
     if (!text) {
         return tl::unexpected(text.error());
     }
-    const auto result = NodeConnection(options.node).call("check", {{"file", fileNameOf(options)}, {"text", *text}});
+    const auto result = NodeConnection(options.node).call("check", {{"file", configFileName(options)}, {"text", *text}});
     if (!result) {
         return tl::unexpected(result.error());
     }
@@ -177,7 +177,7 @@
         params["file"] = options.arguments.front();
     }
     if (!options.revision.empty()) {
-        const auto revision = wholeNumber(options.revision);
+        const auto revision = parseWholeNumber(options.revision);
         if (!revision) {
             return failure(ErrorKind::Invalid, fmt::format("--revision={}: give a revision's number; 'galenahillctl history' lists them", options.revision));
         }
@@ -265,8 +265,8 @@
         {"apply",
             {.synopsis = "apply FILE",
                 .description = "Applies one whole file",
-                .arguments = 1,
-                .mostArguments = 1,
+                .minArguments = 1,
+                .maxArguments = 1,
                 .options = {"name", "apply-id", "based-on", "operator", "wait", "wait-seconds"},
                 .run = apply}},
         {"burn", {"burn", "Shows how fast each route uses up its error budget", 0, 0, {"plot"}, burn}},
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -33,8 +33,8 @@
 {
     std::string synopsis;
     std::string description;
-    std::size_t arguments = 0;
-    std::size_t mostArguments = 0;
+    std::size_t minArguments = 0;
+    std::size_t maxArguments = 0;
     // Options that the command accepts besides the general ones.
     std::vector<std::string> options;
     std::function<Result<void>(const CommandOptions &)> run;
--- a/src/cli/diffcommand.cpp
+++ b/src/cli/diffcommand.cpp
@@ -21,7 +21,7 @@
 {
     json params = json::object();
     if (!revision.empty()) {
-        const auto number = wholeNumber(revision);
+        const auto number = parseWholeNumber(revision);
         if (!number) {
             return failure(ErrorKind::Invalid,
                 fmt::format("--revision={}: give one revision number, or two as A..B; 'galenahillctl history' lists them", options.revision));
@@ -75,7 +75,7 @@
     if (!text) {
         return tl::unexpected(text.error());
     }
-    const auto name = fileNameOf(options);
+    const auto name = configFileName(options);
     FileTexts before;
     if (const auto found = base.find(name); found != base.end()) {
         before.insert(*found);
--- a/src/cli/explaincommand.cpp
+++ b/src/cli/explaincommand.cpp
@@ -1,6 +1,6 @@
 #include "cli/explaincommand.h"
 
-#include "cli/callstory.h"
+#include "cli/calltrace.h"
 
 #include <fmt/format.h>
 #include <fstream>
@@ -11,7 +11,7 @@
 Result<void> explain(const CommandOptions &options)
 {
     const auto &id = options.arguments.front();
-    CallStory trace(id);
+    CallTrace trace(id);
     for (std::size_t i = 1; i < options.arguments.size(); ++i) {
         std::ifstream file(options.arguments[i]);
         if (!file) {
@@ -27,7 +27,7 @@
             fmt::format("{}: no log line mentions this call ({} lines could not be parsed); give the logs of all nodes; calls that succeed at once are not "
                         "logged by default",
                 id,
-                trace.unreadable()));
+                trace.unreadableLines()));
     }
     fmt::print("{}\n", options.json ? trace.json().dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) : trace.table());
     return {};
--- a/src/cli/localfile.cpp
+++ b/src/cli/localfile.cpp
@@ -21,13 +21,13 @@
     return text.str();
 }
 
-std::string fileNameOf(const CommandOptions &options)
+std::string configFileName(const CommandOptions &options)
 {
     const auto &path = options.arguments.front();
     return options.name.empty() ? path.substr(path.rfind('/') + 1) : options.name;
 }
 
-std::optional<std::uint64_t> wholeNumber(const std::string &text)
+std::optional<std::uint64_t> parseWholeNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     const auto *end = text.data() + text.size();
--- a/src/cli/localfile.h
+++ b/src/cli/localfile.h
@@ -15,9 +15,9 @@
 
 // Returns the name under which the file on the command line stands in the configuration: the value
 // of --name, else the file's base name.
-std::string fileNameOf(const CommandOptions &options);
+std::string configFileName(const CommandOptions &options);
 
 // Returns the number if the text consists of decimal digits only and the number fits, else nothing.
-std::optional<std::uint64_t> wholeNumber(const std::string &text);
+std::optional<std::uint64_t> parseWholeNumber(const std::string &text);
 
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -79,7 +79,7 @@
         }
         return usageError(fmt::format("{}: no such command{}", name, suggestion(name, names)));
     }
-    if (options.arguments.size() < command->second.arguments || options.arguments.size() > command->second.mostArguments) {
+    if (options.arguments.size() < command->second.minArguments || options.arguments.size() > command->second.maxArguments) {
         return usageError(fmt::format("usage: galenahillctl {}", command->second.synopsis));
     }
     for (const auto &option : used) {
--- a/src/core/calls/admissioncontroller.cpp
+++ b/src/core/calls/admissioncontroller.cpp
@@ -76,7 +76,7 @@
     return m_ramping ? m_slots : limit();
 }
 
-bool AdmissionController::tryEnter(TimePoint now)
+bool AdmissionController::tryAcquire(TimePoint now)
 {
     releaseHeld(now);
     if (m_draining || m_slots == 0 || m_inFlight >= limit()) {
@@ -86,33 +86,33 @@
     return true;
 }
 
-void AdmissionController::leave(const RouteName &route, TimePoint acquiredAt, End reason, TimePoint now)
+void AdmissionController::release(const RouteName &route, TimePoint acquiredAt, ReleaseReason reason, TimePoint now)
 {
-    if (reason == End::GivenUp) {
+    if (reason == ReleaseReason::TimedOut) {
         recordTimeout(acquiredAt, now);
         return;
     }
-    if (reason == End::Cancelled) {
+    if (reason == ReleaseReason::Cancelled) {
         holdSlot(now + CancelHold);
         return;
     }
     --m_inFlight;
     switch (reason) {
-    case End::Answered:
+    case ReleaseReason::Answered:
         m_lastResponse = now;
         recordLatency(route, std::chrono::duration_cast<Microseconds>(now - acquiredAt), now);
         break;
-    case End::Shed:
+    case ReleaseReason::Overloaded:
         m_lastResponse = now;
         reduceLimit(RejectReduction, now);
         break;
-    case End::Broken:
+    case ReleaseReason::ConnectionLost:
         m_limit = 1;
         m_ramping = true;
         break;
-    case End::GivenUp:
-    case End::Cancelled:
-    case End::NotSent:
+    case ReleaseReason::TimedOut:
+    case ReleaseReason::Cancelled:
+    case ReleaseReason::NotSent:
         break;
     }
 }
@@ -179,13 +179,13 @@
     return m_heldUntil.empty() ? TimePoint::max() : m_heldUntil.front();
 }
 
-Microseconds AdmissionController::fastest() const
+Microseconds AdmissionController::lowestBaseline() const
 {
     const auto least = std::min_element(m_baselines.begin(), m_baselines.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
     return least == m_baselines.end() ? Microseconds(0) : least->second;
 }
 
-Microseconds AdmissionController::typical() const
+Microseconds AdmissionController::averageLatency() const
 {
     return m_averageLatency;
 }
--- a/src/core/calls/admissioncontroller.h
+++ b/src/core/calls/admissioncontroller.h
@@ -15,18 +15,18 @@
 {
 public:
     // Why a call releases its slot.
-    enum class End {
+    enum class ReleaseReason {
         // The target sent a complete response.
         Answered,
         // The target rejected the call because it is overloaded.
-        Shed,
+        Overloaded,
         // The deadline passed without a response; the target may still execute the call.
-        GivenUp,
+        TimedOut,
         // The caller closed its connection. Says nothing about the target's load, but the target may
         // need a moment to stop executing the call.
         Cancelled,
         // The connection broke before a response, for instance because the target restarted.
-        Broken,
+        ConnectionLost,
         // The call did not reach the target.
         NotSent,
     };
@@ -46,8 +46,8 @@
     bool draining() const;
 
     // Takes a slot; false if none is free or the target is draining.
-    bool tryEnter(TimePoint now);
-    void leave(const RouteName &route, TimePoint acquiredAt, End reason, TimePoint now);
+    bool tryAcquire(TimePoint now);
+    void release(const RouteName &route, TimePoint acquiredAt, ReleaseReason reason, TimePoint now);
 
     // Frees the slots of timed-out and cancelled calls whose hold time is over.
     void releaseHeld(TimePoint now);
@@ -65,9 +65,9 @@
     TimePoint nextRelease() const;
 
     // The lowest baseline latency of all routes; zero while none is known.
-    std::chrono::microseconds fastest() const;
+    std::chrono::microseconds lowestBaseline() const;
     // The moving average of the latency of all calls.
-    std::chrono::microseconds typical() const;
+    std::chrono::microseconds averageLatency() const;
 
 private:
     void recordLatency(const RouteName &route, std::chrono::microseconds latency, TimePoint now);
--- a/src/core/calls/attempttimer.cpp
+++ b/src/core/calls/attempttimeoutpolicy.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/attempttimer.h"
+#include "core/calls/attempttimeoutpolicy.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 }
 
-void AttemptTimer::observed(const RouteName &route, Microseconds time)
+void AttemptTimeoutPolicy::record(const RouteName &route, Microseconds time)
 {
     if (m_averages.size() >= MaxRoutes && m_averages.count(route) == 0) {
         m_averages.clear();
@@ -25,7 +25,7 @@
     average += (time - average) / AverageWeight;
 }
 
-TimePoint AttemptTimer::attemptDeadline(const RouteName &route, TimePoint now, TimePoint deadline) const
+TimePoint AttemptTimeoutPolicy::attemptDeadline(const RouteName &route, TimePoint now, TimePoint deadline) const
 {
     const auto found = m_averages.find(route);
     if (found == m_averages.end()) {
--- a/src/core/calls/calledservices.cpp
+++ b/src/core/calls/calledservices.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-const std::vector<ServiceName> *CalledServices::of(const RouteName &route) const
+const std::vector<ServiceName> *CalledServices::servicesOf(const RouteName &route) const
 {
     const auto found = m_called.find(route);
     return found == m_called.end() ? nullptr : &found->second;
--- a/src/core/calls/calledservices.h
+++ b/src/core/calls/calledservices.h
@@ -16,7 +16,7 @@
     void add(const RouteName &route, const ServiceName &service);
 
     // The services known for the route, or null if there are none.
-    const std::vector<ServiceName> *of(const RouteName &route) const;
+    const std::vector<ServiceName> *servicesOf(const RouteName &route) const;
 
 private:
     std::unordered_map<RouteName, std::vector<ServiceName>> m_called;
--- a/src/core/calls/calldialect.h
+++ b/src/core/calls/callheadernames.h
@@ -11,7 +11,7 @@
 // Names of the header fields that callers and targets exchange with a node. The defaults are the
 // project's own; the adapter of a platform sets those that its callers and targets use. An empty
 // name means that there is no such field.
-struct CallDialect
+struct CallHeaderNames
 {
     // The caller's own id of a call. Passed on unchanged; the target repeats it in its response, so
     // that a response to another call is detected.
@@ -22,7 +22,7 @@
     std::function<std::string_view(std::string_view id)> parentOf;
 
     // Milliseconds for which the caller still waits, and which the target may take.
-    std::string timeLeft = CallHeaders::TimeoutMs;
+    std::string timeoutMs = CallHeaders::TimeoutMs;
 
     // Id of the target that a call is meant for; any other target must not execute it.
     std::string expectedTarget;
@@ -32,7 +32,7 @@
 
     // Marks each response that the target itself produced. A success without it is not trusted,
     // whatever its status code.
-    std::string answerProof;
+    std::string originMarker;
 
     // Marks a response by which a target states that it did not execute the call.
     std::string notExecuted;
--- a/src/core/calls/callpolicy.cpp
+++ b/src/core/calls/callpolicy.cpp
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-CallPolicy CallPolicy::withoutDecisions(const std::string &names)
+CallPolicy CallPolicy::withToggled(const std::string &names)
 {
     static const std::map<std::string, bool CallPolicy::*> decisions = {
         {"round-robin", &CallPolicy::leastLoaded},
--- a/src/core/calls/callpolicy.h
+++ b/src/core/calls/callpolicy.h
@@ -32,7 +32,7 @@
 
     // The default policy with the named features toggled, such as "round-robin,no-queue"; unknown
     // names are ignored.
-    static CallPolicy withoutDecisions(const std::string &names);
+    static CallPolicy withToggled(const std::string &names);
 };
 
 }
--- a/src/core/calls/callqueue.cpp
+++ b/src/core/calls/callqueue.cpp
@@ -68,7 +68,7 @@
     return std::min_element(m_waiting.begin(), m_waiting.end(), [&](const auto &a, const auto &b) { return rank(a) < rank(b); });
 }
 
-std::size_t CallQueue::ahead(const CallUrgency &urgency) const
+std::size_t CallQueue::countAhead(const CallUrgency &urgency) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_waiting.begin(), m_waiting.end(), [&](const auto &call) { return !m_options.byUrgency || !(urgency < call.urgency); }));
@@ -76,11 +76,11 @@
 
 // More urgent calls that came later have overtaken it. If it stayed queued until its latest start,
 // it would learn too late that it has to go to another target.
-std::optional<QueueTicket> CallQueue::takeHopeless(TimePoint now, std::chrono::microseconds interval)
+std::optional<QueueTicket> CallQueue::popUnschedulable(TimePoint now, std::chrono::microseconds interval)
 {
     for (auto call = m_waiting.begin(); m_options.byUrgency && call != m_waiting.end(); ++call) {
         // The count includes the call itself, which needs a slot as well.
-        if (now + interval * ahead(call->urgency) > call->urgency.startBy) {
+        if (now + interval * countAhead(call->urgency) > call->urgency.startBy) {
             const auto ticket = call->ticket;
             m_waiting.erase(call);
             return ticket;
@@ -99,12 +99,12 @@
     return m_waiting.size();
 }
 
-void CallQueue::started(const RouteName &route)
+void CallQueue::callStarted(const RouteName &route)
 {
     ++m_running[route];
 }
 
-void CallQueue::ended(const RouteName &route)
+void CallQueue::callEnded(const RouteName &route)
 {
     const auto found = m_running.find(route);
     if (found != m_running.end() && --found->second == 0) {
--- a/src/core/calls/callqueue.h
+++ b/src/core/calls/callqueue.h
@@ -16,7 +16,7 @@
 struct CallUrgency
 {
     // False for a nested call, whose parent call is running and waits for it; such calls go first.
-    bool forNewWork = true;
+    bool isTopLevel = true;
     // Priority of the call at the root of the call tree; zero goes first.
     std::uint32_t priority = 0;
     // The latest time to get a slot and still be answered within the objective.
@@ -50,18 +50,18 @@
     std::optional<QueueTicket> pop(TimePoint now = TimePoint());
 
     // Number of queued calls that go before, or have, that urgency; all of them unless ordered by urgency.
-    std::size_t ahead(const CallUrgency &urgency) const;
+    std::size_t countAhead(const CallUrgency &urgency) const;
 
     // Removes and returns a call that cannot get a slot by its latest start if one slot is freed per
     // interval; nothing if there is none. Only if ordered by urgency.
-    std::optional<QueueTicket> takeHopeless(TimePoint now, std::chrono::microseconds interval);
+    std::optional<QueueTicket> popUnschedulable(TimePoint now, std::chrono::microseconds interval);
 
     void remove(QueueTicket ticket);
     std::size_t size() const;
 
     // A call of the route took or released a slot.
-    void started(const RouteName &route);
-    void ended(const RouteName &route);
+    void callStarted(const RouteName &route);
+    void callEnded(const RouteName &route);
 
 private:
     struct Waiting
--- a/src/core/calls/lateoffers.cpp
+++ b/src/core/calls/latecallfilter.cpp
@@ -1,18 +1,18 @@
-#include "core/calls/lateoffers.h"
+#include "core/calls/latecallfilter.h"
 
 namespace Galenahill {
 
-LateOffers::LateOffers(Options options)
+LateCallFilter::LateCallFilter(Options options)
     : m_options(options)
 {
 }
 
-bool LateOffers::turnsAway(TimePoint now, TimePoint expectedEnd, TimePoint objective)
+bool LateCallFilter::shouldReject(TimePoint now, TimePoint expectedEnd, TimePoint objective)
 {
     if (expectedEnd <= objective) {
         return false;
     }
-    const bool probeDue = m_lastProbe == TimePoint() || now - m_lastProbe >= m_options.trialInterval;
+    const bool probeDue = m_lastProbe == TimePoint() || now - m_lastProbe >= m_options.probeInterval;
     if (probeDue) {
         m_lastProbe = now;
         return false;
--- a/src/core/calls/latencyhistogram.cpp
+++ b/src/core/calls/latencyhistogram.cpp
@@ -22,7 +22,7 @@
     return std::accumulate(m_counts.begin(), m_counts.end(), std::uint64_t(0));
 }
 
-std::string LatencyHistogram::text(const std::string &name, const std::string &label) const
+std::string LatencyHistogram::prometheusText(const std::string &name, const std::string &label) const
 {
     std::string text;
     std::uint64_t below = 0;
--- a/src/core/calls/latencyhistogram.h
+++ b/src/core/calls/latencyhistogram.h
@@ -20,7 +20,7 @@
 
     // Lines of the Prometheus text format for the named metric, with the label as given, such as
     // stage="line".
-    std::string text(const std::string &name, const std::string &label) const;
+    std::string prometheusText(const std::string &name, const std::string &label) const;
 
 private:
     std::array<std::uint64_t, Bounds.size() + 1> m_counts{};
--- a/src/core/calls/linkschedule.h
+++ b/src/core/calls/linkschedule.h
@@ -18,28 +18,28 @@
         // Speed of the link; zero if unknown, then no body waits for another.
         std::uint64_t bytesPerSecond = 0;
         // Concurrent transfers. A single one leaves the link idle whenever its sender is delayed.
-        std::uint32_t transfers = 2;
+        std::uint32_t maxTransfers = 2;
         // Fraction of the link that bodies are expected to get; the rest is for small calls, responses,
         // gossip and configuration.
-        double share = 0.85;
+        double bodyFraction = 0.85;
     };
 
     explicit LinkSchedule(Options options);
 
     // Whether a transfer may begin now.
-    bool free() const;
+    bool canBegin() const;
 
     // When a body of that size, if it came now, would have arrived, behind the running transfers and
     // the bodies that wait.
-    TimePoint arrival(std::uint64_t bytes, TimePoint now) const;
+    TimePoint expectedArrival(std::uint64_t bytes, TimePoint now) const;
 
     // Adds or removes the size of a waiting body.
-    void wait(std::uint64_t bytes);
-    void waitEnded(std::uint64_t bytes);
+    void addWaiting(std::uint64_t bytes);
+    void removeWaiting(std::uint64_t bytes);
 
     // A transfer began, or it finished or was abandoned.
-    void begin(std::uint64_t bytes, TimePoint now);
-    void end(TimePoint now);
+    void beginTransfer(std::uint64_t bytes, TimePoint now);
+    void endTransfer(TimePoint now);
 
 private:
     Clock::duration transferTime(std::uint64_t bytes) const;
--- a/src/core/calls/offerorder.cpp
+++ b/src/core/calls/offerorder.cpp
@@ -16,20 +16,20 @@
 
 }
 
-Choice nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferTerms &terms, TimePoint now)
+Offer nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferOptions &terms, TimePoint now)
 {
-    if (targets.size() > 1 && history.asked.size() < MaxUnqueuedOffers) {
-        const auto *first = history.asked.empty() ? terms.first : nullptr;
-        const auto *target = first != nullptr ? first : picker.selectForQueueing(targets, history.asked, now);
+    if (targets.size() > 1 && history.offeredWithoutWaiting.size() < MaxUnqueuedOffers) {
+        const auto *first = history.offeredWithoutWaiting.empty() ? terms.preferredTarget : nullptr;
+        const auto *target = first != nullptr ? first : picker.selectForQueueing(targets, history.offeredWithoutWaiting, now);
         const bool isRemote = target != nullptr && target->dataCentre != terms.dataCentre;
-        if (target != nullptr && (terms.crossesUnasked || !isRemote) && picker.mayHaveFreeSlot(target->name, now)) {
-            history.asked.push_back(target->name);
+        if (target != nullptr && (terms.offerRemoteBeforeQueueing || !isRemote) && picker.mayHaveFreeSlot(target->name, now)) {
+            history.offeredWithoutWaiting.push_back(target->name);
             return {target, false};
         }
     }
-    const auto *target = history.waitedAt.size() < MaxQueuedOffers ? picker.selectForQueueing(targets, history.waitedAt, now) : nullptr;
+    const auto *target = history.queuedAt.size() < MaxQueuedOffers ? picker.selectForQueueing(targets, history.queuedAt, now) : nullptr;
     if (target != nullptr) {
-        history.waitedAt.push_back(target->name);
+        history.queuedAt.push_back(target->name);
         return {target, true};
     }
     if (history.overflowedTo.size() >= MaxOverflows) {
--- a/src/core/calls/urgencyguard.cpp
+++ b/src/core/calls/priorityinversionguard.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/urgencyguard.h"
+#include "core/calls/priorityinversionguard.h"
 
 #include <algorithm>
 
@@ -20,26 +20,26 @@
 
 }
 
-UrgencyGuard::UrgencyGuard(Options options)
+PriorityInversionGuard::PriorityInversionGuard(Options options)
     : m_options(options)
     , m_random(options.seed)
 {
 }
 
-void UrgencyGuard::learn(const RouteName &route, std::vector<ServiceName> services)
+void PriorityInversionGuard::setCalledServices(const RouteName &route, std::vector<ServiceName> services)
 {
     clearIfFull(m_calledServices, route);
     m_calledServices[route] = std::move(services);
 }
 
-const std::vector<ServiceName> &UrgencyGuard::calledBy(const RouteName &route) const
+const std::vector<ServiceName> &PriorityInversionGuard::calledServices(const RouteName &route) const
 {
     static const std::vector<ServiceName> none;
     const auto found = m_calledServices.find(route);
     return found == m_calledServices.end() ? none : found->second;
 }
 
-void UrgencyGuard::ended(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now)
+void PriorityInversionGuard::callEnded(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now)
 {
     clearIfFull(m_rejectionsByService, service);
     clearIfFull(m_rejectionsByRoute, route.name);
@@ -47,7 +47,7 @@
     m_rejectionsByRoute[route.name].add(rejected, now);
 }
 
-double UrgencyGuard::refusedAbove(const RouteDefinition &route, TimePoint now) const
+double PriorityInversionGuard::higherPriorityRejectionRatio(const RouteDefinition &route, TimePoint now) const
 {
     double highest = 0;
     const auto called = m_calledServices.find(route.name);
@@ -66,9 +66,9 @@
     return highest;
 }
 
-bool UrgencyGuard::shedLoad(const RouteDefinition &route, TimePoint now)
+bool PriorityInversionGuard::shouldShed(const RouteDefinition &route, TimePoint now)
 {
-    const auto desired = refusedAbove(route, now) - m_options.margin;
+    const auto desired = higherPriorityRejectionRatio(route, now) - m_options.margin;
     if (desired <= 0) {
         return false;
     }
--- a/src/core/calls/urgencyguard.h
+++ b/src/core/calls/priorityinversionguard.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/calls/refusalshare.h"
+#include "core/calls/rejectionratio.h"
 #include "core/config/routedefinition.h"
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 // higher priority, are rejected. The guard sheds lookups before they start: it rejects as large a
 // fraction of them as is rejected of the higher-priority calls to the services that they call. The
 // nodes of the targets report which services a route calls.
-class UrgencyGuard
+class PriorityInversionGuard
 {
 public:
     struct Options
@@ -28,30 +28,30 @@
         double margin = 0.05;
     };
 
-    explicit UrgencyGuard(Options options);
+    explicit PriorityInversionGuard(Options options);
 
     // Targets that execute calls of the route call those services.
-    void learn(const RouteName &route, std::vector<ServiceName> services);
+    void setCalledServices(const RouteName &route, std::vector<ServiceName> services);
 
     // The services that targets are known to call while they execute calls of the route.
-    const std::vector<ServiceName> &calledBy(const RouteName &route) const;
+    const std::vector<ServiceName> &calledServices(const RouteName &route) const;
 
     // A call of the route to the service ended; `rejected`: for lack of free slots.
-    void ended(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now);
+    void callEnded(const RouteDefinition &route, const ServiceName &service, bool rejected, TimePoint now);
 
     // Whether to reject a call of the route in favour of calls of higher priority.
-    bool shedLoad(const RouteDefinition &route, TimePoint now);
+    bool shouldShed(const RouteDefinition &route, TimePoint now);
 
     // Highest fraction of higher-priority calls that is rejected at any service that the route calls.
-    double refusedAbove(const RouteDefinition &route, TimePoint now) const;
+    double higherPriorityRejectionRatio(const RouteDefinition &route, TimePoint now) const;
 
 private:
     Options m_options;
     std::mt19937_64 m_random;
     std::unordered_map<RouteName, std::vector<ServiceName>> m_calledServices;
     // By service and priority, and by route without the calls that the guard shed.
-    std::map<ServiceName, std::map<std::uint32_t, RefusalShare>> m_rejectionsByService;
-    std::unordered_map<RouteName, RefusalShare> m_rejectionsByRoute;
+    std::map<ServiceName, std::map<std::uint32_t, RejectionRatio>> m_rejectionsByService;
+    std::unordered_map<RouteName, RejectionRatio> m_rejectionsByRoute;
 };
 
 }
--- a/src/core/calls/refusalshare.cpp
+++ b/src/core/calls/rejectionratio.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/refusalshare.h"
+#include "core/calls/rejectionratio.h"
 
 #include <cmath>
 
@@ -16,12 +16,12 @@
 
 }
 
-double RefusalShare::decay(TimePoint now) const
+double RejectionRatio::decay(TimePoint now) const
 {
     return std::exp(-std::chrono::duration<double>(now - m_lastAdded).count() / DecaySeconds);
 }
 
-void RefusalShare::add(bool rejected, TimePoint now)
+void RejectionRatio::add(bool rejected, TimePoint now)
 {
     const auto decayed = m_lastAdded == TimePoint() ? 0 : decay(now);
     m_calls = m_calls * decayed + 1;
@@ -29,7 +29,7 @@
     m_lastAdded = now;
 }
 
-double RefusalShare::value(TimePoint now) const
+double RejectionRatio::value(TimePoint now) const
 {
     return m_lastAdded == TimePoint() || m_calls * decay(now) < MinWeight ? 0 : m_rejected / m_calls;
 }
--- a/src/core/calls/refusalshare.h
+++ b/src/core/calls/rejectionratio.h
@@ -5,7 +5,7 @@
 namespace Galenahill {
 
 // Fraction of calls that were rejected recently; the weight of a call decays with its age.
-class RefusalShare
+class RejectionRatio
 {
 public:
     void add(bool rejected, TimePoint now);
--- a/src/core/calls/returntime.cpp
+++ b/src/core/calls/retryafter.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/returntime.h"
+#include "core/calls/retryafter.h"
 
 #include <algorithm>
 
@@ -18,12 +18,12 @@
 
 }
 
-ReturnTime::ReturnTime(std::uint64_t seed)
+RetryAfter::RetryAfter(std::uint64_t seed)
     : m_random(seed)
 {
 }
 
-Milliseconds ReturnTime::after(Milliseconds reportedWait, Milliseconds timeLeft)
+Milliseconds RetryAfter::delay(Milliseconds reportedWait, Milliseconds timeLeft)
 {
     const auto minimum = static_cast<double>(std::max(reportedWait, MinDelay).count());
     const auto factor = std::uniform_real_distribution<double>(1.0, 1.0 + Jitter)(m_random);
--- a/src/core/calls/retrybudget.cpp
+++ b/src/core/calls/retrybudget.cpp
@@ -6,43 +6,43 @@
 
 RetryBudget::RetryBudget(Options options)
     : m_options(options)
-    , m_tokens(options.most)
+    , m_tokens(options.maxTokens)
 {
 }
 
 void RetryBudget::setOptions(Options options)
 {
     m_options = options;
-    m_tokens = std::min(m_tokens, m_options.most);
+    m_tokens = std::min(m_tokens, m_options.maxTokens);
 }
 
-void RetryBudget::callMade()
+void RetryBudget::recordCall()
 {
-    m_tokens = std::min(m_options.most, m_tokens + m_options.perCall);
+    m_tokens = std::min(m_options.maxTokens, m_tokens + m_options.tokensPerCall);
 }
 
-bool RetryBudget::hasOne() const
+bool RetryBudget::hasToken() const
 {
     return m_tokens >= 1;
 }
 
-bool RetryBudget::tryTake()
+bool RetryBudget::tryTakeToken()
 {
-    if (!hasOne()) {
+    if (!hasToken()) {
         return false;
     }
     m_tokens -= 1;
     return true;
 }
 
-void RetryBudget::spend()
+void RetryBudget::chargeRetry()
 {
     m_tokens -= 1;
 }
 
-void RetryBudget::giveBack()
+void RetryBudget::returnToken()
 {
-    m_tokens = std::min(m_options.most, m_tokens + 1);
+    m_tokens = std::min(m_options.maxTokens, m_tokens + 1);
 }
 
 }
--- a/src/core/calls/retrybudget.h
+++ b/src/core/calls/retrybudget.h
@@ -12,9 +12,9 @@
     struct Options
     {
         // Tokens that one call adds; a retry takes one token.
-        double perCall = 0.1;
+        double tokensPerCall = 0.1;
         // Most tokens that can be accumulated; also the number at start.
-        double most = 20;
+        double maxTokens = 20;
     };
 
     explicit RetryBudget(Options options);
@@ -23,20 +23,20 @@
     void setOptions(Options options);
 
     // A first attempt was made.
-    void callMade();
+    void recordCall();
 
     // Whether a token is left for a retry.
-    bool hasOne() const;
+    bool hasToken() const;
 
     // Takes a token; false if none is left.
-    bool tryTake();
+    bool tryTakeToken();
 
     // Charges a retry that cannot be held back: a nested call that its parent, itself retried, makes
     // again. The balance may become negative, which delays later retries.
-    void spend();
+    void chargeRetry();
 
     // Returns the token of a retry that was not made.
-    void giveBack();
+    void returnToken();
 
 private:
     Options m_options;
--- a/src/core/calls/routelimiter.cpp
+++ b/src/core/calls/routelimiter.cpp
@@ -7,10 +7,10 @@
 {
 }
 
-bool RouteLimiter::tryEnter(const RouteName &route)
+bool RouteLimiter::tryAcquire(const RouteName &route)
 {
     auto &calls = m_routes[route];
-    if (m_total >= m_options.all || calls >= m_options.perRoute) {
+    if (m_total >= m_options.maxCalls || calls >= m_options.maxCallsPerRoute) {
         return false;
     }
     ++m_total;
@@ -18,7 +18,7 @@
     return true;
 }
 
-void RouteLimiter::leave(const RouteName &route)
+void RouteLimiter::release(const RouteName &route)
 {
     --m_total;
     const auto found = m_routes.find(route);
--- a/src/core/calls/routelimiter.h
+++ b/src/core/calls/routelimiter.h
@@ -14,15 +14,15 @@
 public:
     struct Options
     {
-        std::size_t all = 2048;
-        std::size_t perRoute = 512;
+        std::size_t maxCalls = 2048;
+        std::size_t maxCallsPerRoute = 512;
     };
 
     explicit RouteLimiter(Options options);
 
     // Counts a call; false if it must be rejected.
-    bool tryEnter(const RouteName &route);
-    void leave(const RouteName &route);
+    bool tryAcquire(const RouteName &route);
+    void release(const RouteName &route);
 
 private:
     Options m_options;
--- a/src/core/calls/routingview.cpp
+++ b/src/core/calls/routingview.cpp
@@ -12,10 +12,10 @@
     return found == targets.end() ? none : found->second;
 }
 
-const VersionTrial *RoutingView::trialOf(const ServiceName &service) const
+const CanaryVersion *RoutingView::canaryOf(const ServiceName &service) const
 {
-    const auto found = trials.find(service);
-    return found == trials.end() ? nullptr : &found->second;
+    const auto found = canaries.find(service);
+    return found == canaries.end() ? nullptr : &found->second;
 }
 
 void RoutingView::add(const MemberRecord &member, const VersionRules &rules)
@@ -28,8 +28,8 @@
     using Mode = VersionRule::Mode;
     const auto &[version, mode, share, chosen] = rule->second;
     const bool ofVersion = member.version == version;
-    if (ofVersion && mode == Mode::Trial) {
-        auto &canary = trials[member.service];
+    if (ofVersion && mode == Mode::Canary) {
+        auto &canary = canaries[member.service];
         canary.version = version;
         canary.share = share;
         if (chosen.empty() || std::find(chosen.begin(), chosen.end(), member.name) != chosen.end()) {
--- a/src/core/calls/routingview.h
+++ b/src/core/calls/routingview.h
@@ -11,7 +11,7 @@
 namespace Galenahill {
 
 // The targets of a service's canary version, and its share of the calls.
-struct VersionTrial
+struct CanaryVersion
 {
     TargetVersion version;
     double share = 0;
@@ -26,13 +26,13 @@
     std::shared_ptr<const ConfigRevision> config;
     std::unordered_map<ServiceName, std::vector<MemberRecord>> targets;
     // Canary versions by service; `targets` does not contain their targets.
-    std::unordered_map<ServiceName, VersionTrial> trials;
+    std::unordered_map<ServiceName, CanaryVersion> canaries;
 
     // The targets of a service that accept calls.
     const std::vector<MemberRecord> &targetsOf(const ServiceName &service) const;
 
     // The canary of the service; null if there is none.
-    const VersionTrial *trialOf(const ServiceName &service) const;
+    const CanaryVersion *canaryOf(const ServiceName &service) const;
 
     // Groups the members by the services that the revision defines; members of other services, and
     // those that accept no calls, are left out.
--- a/src/core/calls/runningcall.h
+++ b/src/core/calls/runningcall.h
@@ -13,7 +13,7 @@
     // Priority of the call at the root of the call tree.
     std::uint32_t priority = 0;
     // Whether the call may have been executed before, or is nested in a call that may have been.
-    bool repeat = false;
+    bool isRetry = false;
 };
 
 }
--- a/src/core/calls/servicelevelmetrics.cpp
+++ b/src/core/calls/servicelevelmetrics.cpp
@@ -25,9 +25,9 @@
     CallType type = CallType::NonIdempotent;
     double sloAvailability = 0;
     Milliseconds sloLatency{0};
-    std::array<std::uint64_t, CallEndKinds> results{};
+    std::array<std::uint64_t, CallResultKinds> results{};
     Latency latency{accumulators::extended_p_square_probabilities = Probabilities};
-    SlidingCounts counts;
+    SlidingWindowCounts counts;
 };
 
 }
@@ -39,16 +39,16 @@
     std::map<RouteName, RouteMetrics> routes;
 };
 
-const char *toString(CallEnd result)
+const char *toString(CallResult result)
 {
     switch (result) {
-    case CallEnd::Answered:
+    case CallResult::Answered:
         return "answered";
-    case CallEnd::TargetFailed:
+    case CallResult::TargetFailed:
         return "target-failed";
-    case CallEnd::NotRun:
+    case CallResult::NotRun:
         return "not-run";
-    case CallEnd::OutcomeUnknown:
+    case CallResult::OutcomeUnknown:
         return "outcome-unknown";
     }
     return "outcome-unknown";
@@ -61,7 +61,7 @@
 
 ServiceLevelMetrics::~ServiceLevelMetrics() = default;
 
-void ServiceLevelMetrics::record(const RouteDefinition &route, CallEnd result, std::chrono::microseconds latency, TimePoint now)
+void ServiceLevelMetrics::record(const RouteDefinition &route, CallResult result, std::chrono::microseconds latency, TimePoint now)
 {
     const std::lock_guard lock(d->mutex);
     auto &metrics = d->routes[route.name];
@@ -70,8 +70,8 @@
     metrics.sloLatency = route.sloLatency;
     ++metrics.results[static_cast<std::size_t>(result)];
     metrics.latency(static_cast<double>(latency.count()) / 1000);
-    const bool slow = result == CallEnd::Answered && route.sloLatency.count() > 0 && latency > route.sloLatency;
-    metrics.counts.add(now, {.calls = 1, .failed = result == CallEnd::Answered ? 0U : 1U, .slow = slow ? 1U : 0U});
+    const bool slow = result == CallResult::Answered && route.sloLatency.count() > 0 && latency > route.sloLatency;
+    metrics.counts.add(now, {.calls = 1, .failed = result == CallResult::Answered ? 0U : 1U, .slow = slow ? 1U : 0U});
 }
 
 std::vector<RouteReport> ServiceLevelMetrics::report(TimePoint now) const
@@ -84,7 +84,7 @@
         report.type = metrics.type;
         report.sloAvailability = metrics.sloAvailability;
         report.sloLatency = metrics.sloLatency;
-        report.ends = metrics.results;
+        report.results = metrics.results;
         report.latencyP50 = accumulators::quantile(metrics.latency, accumulators::quantile_probability = 0.5);
         report.latencyP99 = accumulators::quantile(metrics.latency, accumulators::quantile_probability = 0.99);
         report.latencyMax = accumulators::max(metrics.latency);
--- a/src/core/calls/servicelevelmetrics.h
+++ b/src/core/calls/servicelevelmetrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/calls/slidingcounts.h"
+#include "core/calls/slidingwindowcounts.h"
 #include "core/config/routedefinition.h"
 
 #include <array>
@@ -10,7 +10,7 @@
 namespace Galenahill {
 
 // How a call ended, as its caller saw it.
-enum class CallEnd {
+enum class CallResult {
     // The target responded with a status below 500.
     Answered,
     // The target responded with a status of 500 or above.
@@ -21,10 +21,10 @@
     OutcomeUnknown,
 };
 
-inline constexpr std::size_t CallEndKinds = 4;
+inline constexpr std::size_t CallResultKinds = 4;
 
 // The name of a result in metrics, such as "not-run".
-const char *toString(CallEnd result);
+const char *toString(CallResult result);
 
 // What one node measured of one route.
 struct RouteReport
@@ -34,7 +34,7 @@
     double sloAvailability = 0;
     Milliseconds sloLatency{0};
     // Number of calls since the node's start, indexed by CallResult.
-    std::array<std::uint64_t, CallEndKinds> ends{};
+    std::array<std::uint64_t, CallResultKinds> results{};
     // Latency of all calls since the node's start, in milliseconds.
     double latencyP50 = 0;
     double latencyP99 = 0;
@@ -54,7 +54,7 @@
     ServiceLevelMetrics();
     ~ServiceLevelMetrics();
 
-    void record(const RouteDefinition &route, CallEnd result, std::chrono::microseconds latency, TimePoint now);
+    void record(const RouteDefinition &route, CallResult result, std::chrono::microseconds latency, TimePoint now);
 
     std::vector<RouteReport> report(TimePoint now) const;
 
--- a/src/core/calls/servicetimes.cpp
+++ b/src/core/calls/servicetimes.cpp
@@ -30,10 +30,10 @@
     return m_routes[route];
 }
 
-void ServiceTimes::observed(const RouteName &route, Microseconds time)
+void ServiceTimes::record(const RouteName &route, Microseconds time)
 {
     for (auto *times : {&timesOf(route), &m_all}) {
-        if (std::exchange(times->observed, true)) {
+        if (std::exchange(times->hasSample, true)) {
             updateAverage(times->average, time);
         } else {
             times->average = time;
@@ -41,10 +41,10 @@
     }
 }
 
-void ServiceTimes::suppose(const RouteName &route, Microseconds time)
+void ServiceTimes::assume(const RouteName &route, Microseconds time)
 {
     for (auto *times : {&timesOf(route), &m_all}) {
-        if (!times->observed) {
+        if (!times->hasSample) {
             if (times->average.count() == 0) {
                 times->average = time;
             }
@@ -53,13 +53,13 @@
     }
 }
 
-Microseconds ServiceTimes::usual(const RouteName &route) const
+Microseconds ServiceTimes::average(const RouteName &route) const
 {
     const auto found = m_routes.find(route);
     return found == m_routes.end() || found->second.average.count() == 0 ? m_all.average : found->second.average;
 }
 
-Microseconds ServiceTimes::usual() const
+Microseconds ServiceTimes::average() const
 {
     return m_all.average;
 }
--- a/src/core/calls/servicetimes.h
+++ b/src/core/calls/servicetimes.h
@@ -11,15 +11,15 @@
 {
 public:
     // The target responded to a call of the route after that time.
-    void observed(const RouteName &route, std::chrono::microseconds time);
+    void record(const RouteName &route, std::chrono::microseconds time);
 
     // Sets an estimate for the route that applies until the first response.
-    void suppose(const RouteName &route, std::chrono::microseconds time);
+    void assume(const RouteName &route, std::chrono::microseconds time);
 
     // The average latency of the route, or of all routes while the route has none; zero while
     // nothing is known.
-    std::chrono::microseconds usual(const RouteName &route) const;
-    std::chrono::microseconds usual() const;
+    std::chrono::microseconds average(const RouteName &route) const;
+    std::chrono::microseconds average() const;
 
     // Discards everything, for instance when another target takes this one's place.
     void clear();
@@ -28,7 +28,7 @@
     struct Times
     {
         std::chrono::microseconds average{0};
-        bool observed = false;
+        bool hasSample = false;
     };
 
     Times &timesOf(const RouteName &route);
--- a/src/core/calls/slidingcounts.cpp
+++ b/src/core/calls/slidingwindowcounts.cpp
@@ -1,4 +1,4 @@
-#include "core/calls/slidingcounts.h"
+#include "core/calls/slidingwindowcounts.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 std::int64_t stepOf(TimePoint time)
 {
-    return time.time_since_epoch() / SlidingCounts::Step;
+    return time.time_since_epoch() / SlidingWindowCounts::Step;
 }
 
 }
@@ -21,7 +21,7 @@
     return *this;
 }
 
-void SlidingCounts::add(TimePoint now, const CallCounts &counts)
+void SlidingWindowCounts::add(TimePoint now, const CallCounts &counts)
 {
     const auto step = stepOf(now);
     while (!m_buckets.empty() && m_buckets.front().step <= step - static_cast<std::int64_t>(Steps)) {
@@ -33,7 +33,7 @@
     m_buckets.back().counts += counts;
 }
 
-CallCounts SlidingCounts::sum(TimePoint now, Milliseconds window) const
+CallCounts SlidingWindowCounts::sum(TimePoint now, Milliseconds window) const
 {
     const auto last = stepOf(now);
     const auto steps = std::clamp<std::int64_t>(window / Step, 1, static_cast<std::int64_t>(Steps));
--- a/src/core/calls/slidingcounts.h
+++ b/src/core/calls/slidingwindowcounts.h
@@ -23,11 +23,11 @@
 
 // Call counts of the last six hours in steps of half a minute. Stores only steps with calls: a
 // node sees hundreds of routes, most of them with few calls, and a full ring would take 23 KB each.
-class SlidingCounts
+class SlidingWindowCounts
 {
 public:
     static constexpr std::chrono::seconds Step{30};
-    static constexpr std::chrono::hours Longest{6};
+    static constexpr std::chrono::hours MaxWindow{6};
 
     void add(TimePoint now, const CallCounts &counts);
 
@@ -35,7 +35,7 @@
     CallCounts sum(TimePoint now, Milliseconds window) const;
 
 private:
-    static constexpr std::size_t Steps = Longest / Step;
+    static constexpr std::size_t Steps = MaxWindow / Step;
 
     struct Bucket
     {
--- a/src/core/calls/targetpicker.cpp
+++ b/src/core/calls/targetpicker.cpp
@@ -28,7 +28,7 @@
 
 bool TargetPicker::isFresh(const State &state, TimePoint now) const
 {
-    return state.reportedAt != TimePoint() && now - state.reportedAt < m_options.loadAge;
+    return state.reportedAt != TimePoint() && now - state.reportedAt < m_options.maxLoadAge;
 }
 
 // A target without a recent report may have free slots: otherwise one bad report would keep all
@@ -114,7 +114,7 @@
         return nullptr;
     }
     const auto found = pools->second.find(target.dataCentre);
-    const bool known = found != pools->second.end() && now - found->second.observed < m_options.poolAge;
+    const bool known = found != pools->second.end() && now - found->second.observed < m_options.maxPoolAge;
     return known ? &found->second : nullptr;
 }
 
@@ -129,14 +129,14 @@
 // does: if it counted as free, it would attract every call to a data centre that is full.
 Clock::duration TargetPicker::expectedWait(const MemberRecord &target, const State &state, TimePoint now) const
 {
-    const auto remotePenalty = target.dataCentre == m_options.dataCentre ? Milliseconds(0) : m_options.crossing;
+    const auto remotePenalty = target.dataCentre == m_options.dataCentre ? Milliseconds(0) : m_options.remotePenalty;
     const auto poolAverage = poolWait(target, now);
     const auto age = now - state.waitReportedAt;
-    if (state.waitReportedAt == TimePoint() || age >= m_options.loadAge) {
+    if (state.waitReportedAt == TimePoint() || age >= m_options.maxLoadAge) {
         return poolAverage + remotePenalty;
     }
     const auto reported = std::max<Clock::duration>(state.wait - age, Clock::duration(0));
-    const double staleness = std::chrono::duration<double>(age) / std::chrono::duration<double>(m_options.loadAge);
+    const double staleness = std::chrono::duration<double>(age) / std::chrono::duration<double>(m_options.maxLoadAge);
     const auto weighted = std::chrono::duration_cast<Clock::duration>(reported * (1 - staleness) + poolAverage * staleness);
     // Calls that this node has sent since the report are queued before this one.
     return weighted + state.startedSinceReport * state.interval + remotePenalty;
@@ -150,8 +150,8 @@
         (target->dataCentre == m_options.dataCentre ? local : remote).push_back(target);
     }
     Candidates chosen;
-    std::sample(local.begin(), local.end(), std::back_inserter(chosen), m_options.compared, m_random);
-    std::sample(remote.begin(), remote.end(), std::back_inserter(chosen), m_options.compared, m_random);
+    std::sample(local.begin(), local.end(), std::back_inserter(chosen), m_options.sampleSize, m_random);
+    std::sample(remote.begin(), remote.end(), std::back_inserter(chosen), m_options.sampleSize, m_random);
     return chosen;
 }
 
@@ -166,7 +166,7 @@
     }
     Candidates shortestWaits;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (waits[i] <= shortest + m_options.sameWait) {
+        if (waits[i] <= shortest + m_options.waitTolerance) {
             shortestWaits.push_back(candidates[i]);
         }
     }
@@ -183,7 +183,7 @@
             continue;
         }
         const auto share = 1 - static_cast<double>(known->load.calls) / known->load.limit;
-        if (share >= m_options.overflowRoom) {
+        if (share >= m_options.minOverflowHeadroom) {
             candidates.push_back(target);
             freeFractions.push_back(share);
         }
@@ -197,7 +197,7 @@
 
 // A call that still waits for a response would lose its running attempt. So, unlike in `pick`,
 // a target that last reported to be full is not assumed to have a free slot since.
-bool TargetPicker::roomElsewhere(const std::vector<MemberRecord> &targets, const std::vector<NodeName> &tried, TimePoint now)
+bool TargetPicker::hasFreeSlotElsewhere(const std::vector<MemberRecord> &targets, const std::vector<NodeName> &tried, TimePoint now)
 {
     const auto candidates = usable(targets, tried, now);
     return std::any_of(candidates.begin(), candidates.end(), [this](const MemberRecord *target) {
@@ -221,7 +221,7 @@
     state.interval = waiting > 0 ? wait / waiting : Milliseconds(0);
 }
 
-void TargetPicker::loadObserved(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed)
+void TargetPicker::updateTargetLoad(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed)
 {
     auto &state = m_states[target];
     if (observed <= state.reportedAt) {
@@ -233,7 +233,7 @@
     updateExpectedWait(target, wait, observed);
 }
 
-void TargetPicker::poolObserved(const DataCentre &dataCentre, const ServiceName &service, TargetLoad load, Milliseconds wait, TimePoint observed)
+void TargetPicker::updatePoolLoad(const DataCentre &dataCentre, const ServiceName &service, TargetLoad load, Milliseconds wait, TimePoint observed)
 {
     auto &pool = m_pools[service][dataCentre];
     if (observed > pool.observed) {
@@ -241,7 +241,7 @@
     }
 }
 
-void TargetPicker::begin(const NodeName &target, TimePoint now)
+void TargetPicker::addInFlight(const NodeName &target, TimePoint now)
 {
     auto &state = m_states[target];
     ++state.inFlight;
@@ -249,7 +249,7 @@
     state.lastStarted = now;
 }
 
-void TargetPicker::end(const NodeName &target)
+void TargetPicker::removeInFlight(const NodeName &target)
 {
     auto &state = m_states[target];
     if (state.inFlight > 0) {
@@ -257,7 +257,7 @@
     }
 }
 
-void TargetPicker::reported(const NodeName &target, TargetLoad load, TimePoint now)
+void TargetPicker::updateReportedLoad(const NodeName &target, TargetLoad load, TimePoint now)
 {
     auto &state = m_states[target];
     state.load = load;
@@ -265,7 +265,7 @@
     state.reportedAt = now;
 }
 
-void TargetPicker::succeeded(const ServiceName &service, const NodeName &target)
+void TargetPicker::attemptSucceeded(const ServiceName &service, const NodeName &target)
 {
     m_failureRates[service] -= m_failureRates[service] / FailureRateWeight;
     auto &state = m_states[target];
@@ -287,7 +287,7 @@
     return std::max(m_options.failuresToEject, byChance);
 }
 
-void TargetPicker::failed(const ServiceName &service, const NodeName &target, TimePoint now)
+void TargetPicker::attemptFailed(const ServiceName &service, const NodeName &target, TimePoint now)
 {
     const auto needed = failuresToEject(service);
     m_failureRates[service] += (1 - m_failureRates[service]) / FailureRateWeight;
@@ -296,8 +296,8 @@
         return;
     }
     // After the ejection a single failure ejects again, for twice as long.
-    const auto time = m_options.ejectTime * (1 << std::min<std::uint32_t>(state.ejections, 8));
-    state.ejectedUntil = now + std::min<Milliseconds>(time, m_options.maxEjectTime);
+    const auto time = m_options.ejectionTime * (1 << std::min<std::uint32_t>(state.ejections, 8));
+    state.ejectedUntil = now + std::min<Milliseconds>(time, m_options.maxEjectionTime);
     const bool serviceHealthy = needed == m_options.failuresToEject;
     state.failures = serviceHealthy ? needed - 1 : 0;
     ++state.ejections;
--- a/src/core/calls/targetpicker.h
+++ b/src/core/calls/targetpicker.h
@@ -26,25 +26,25 @@
         // Time for which a target that accepts no calls is avoided.
         Milliseconds backOffTime{200};
         // Age from which a reported load is ignored.
-        Milliseconds loadAge{500};
+        Milliseconds maxLoadAge{500};
         // Age from which the load of a pool, a service's targets in one data centre, is ignored.
-        Milliseconds poolAge{3000};
+        Milliseconds maxPoolAge{3000};
         // Additional wait that is accepted locally before a call goes to a remote data centre, whose
         // traffic is paid for; several times the network latency to it.
-        Milliseconds crossing{15};
+        Milliseconds remotePenalty{15};
         // Waits that differ by less than the reporting delay count as equal, and the load decides.
-        Milliseconds sameWait{2};
+        Milliseconds waitTolerance{2};
         // Fraction of free slots from which a remote data centre accepts calls that the local one cannot take.
-        double overflowRoom = 0.05;
+        double minOverflowHeadroom = 0.05;
         // Targets of the local data centre, and of all remote ones together, that are compared for one
         // call. All ingresses have similar reports: if they compared all targets, the least loaded one
         // would get the calls of all of them.
-        std::size_t compared = 4;
+        std::size_t sampleSize = 4;
         // Consecutive failures before a target is ejected, and the first and the longest ejection time.
         // It takes more failures where the whole service often fails.
         std::uint32_t failuresToEject = 3;
-        Milliseconds ejectTime{500};
-        Milliseconds maxEjectTime{4000};
+        Milliseconds ejectionTime{500};
+        Milliseconds maxEjectionTime{4000};
     };
 
     explicit TargetPicker(Options options);
@@ -62,7 +62,7 @@
     const MemberRecord *pickOverflow(const std::vector<MemberRecord> &targets, const std::vector<NodeName> &tried, TimePoint now);
 
     // Whether a target other than those in `tried` had a free slot in its last report, however old.
-    bool roomElsewhere(const std::vector<MemberRecord> &targets, const std::vector<NodeName> &tried, TimePoint now);
+    bool hasFreeSlotElsewhere(const std::vector<MemberRecord> &targets, const std::vector<NodeName> &tried, TimePoint now);
 
     // Whether the target may have a free slot: no recent report says that it is full.
     bool mayHaveFreeSlot(const NodeName &target, TimePoint now);
@@ -72,22 +72,22 @@
 
     // Load of a target and expected wait of a further call at the time of observation. Ignored if
     // later values are known.
-    void loadObserved(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
+    void updateTargetLoad(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
 
     // Total load of a service's targets in one data centre, and the mean wait there, at the time of
     // observation.
-    void poolObserved(const DataCentre &dataCentre, const ServiceName &service, TargetLoad load, Milliseconds wait, TimePoint observed);
+    void updatePoolLoad(const DataCentre &dataCentre, const ServiceName &service, TargetLoad load, Milliseconds wait, TimePoint observed);
 
     // A call to the target started or ended.
-    void begin(const NodeName &target, TimePoint now);
-    void end(const NodeName &target);
+    void addInFlight(const NodeName &target, TimePoint now);
+    void removeInFlight(const NodeName &target);
 
     // The target's sidecar reported its load.
-    void reported(const NodeName &target, TargetLoad load, TimePoint now);
+    void updateReportedLoad(const NodeName &target, TargetLoad load, TimePoint now);
 
     // A call to the target succeeded; it failed or got no response; or the target is unreachable.
-    void succeeded(const ServiceName &service, const NodeName &target);
-    void failed(const ServiceName &service, const NodeName &target, TimePoint now);
+    void attemptSucceeded(const ServiceName &service, const NodeName &target);
+    void attemptFailed(const ServiceName &service, const NodeName &target, TimePoint now);
     void backOff(const NodeName &target, TimePoint now);
 
 private:
--- a/src/core/config/configlimits.h
+++ b/src/core/config/configlimits.h
@@ -16,7 +16,7 @@
 inline constexpr std::size_t MaxFileNameLength = 100;
 // Maximum number of errors listed in one rejection; more would scroll the first ones off the
 // screen.
-inline constexpr std::size_t MaxFaults = 50;
+inline constexpr std::size_t MaxErrors = 50;
 inline constexpr std::uint32_t MaxSlots = 1024;
 inline constexpr std::uint32_t MaxConnections = 65536;
 inline constexpr Milliseconds MinTimeout{10};
--- a/src/core/config/configrepository.cpp
+++ b/src/core/config/configrepository.cpp
@@ -54,7 +54,7 @@
 
 tl::unexpected<Error> notAccepted(const ApplyRequest &request, const Error &error)
 {
-    if (!request.repeated) {
+    if (!request.isRetry) {
         return failure(ErrorKind::Unavailable, "not accepted: " + error.message);
     }
     return failure(ErrorKind::OutcomeUnknown,
@@ -95,7 +95,7 @@
 bool ConfigRepository::storeIsBehind(const Manifest &stored) const
 {
     const auto current = m_options.inForce();
-    const bool isOlder = m_options.highestKnown() > stored.revision || (current && current->revision() > stored.revision);
+    const bool isOlder = m_options.highestKnownRevision() > stored.revision || (current && current->revision() > stored.revision);
     return isOlder || (current && lacksChanges(stored, current->bundle.manifest));
 }
 
@@ -132,10 +132,10 @@
     base.current = m_options.inForce();
     const auto inForce = base.current ? base.current->revision() : Revision();
     const auto newest = std::max(inForce, base.head.manifest.revision);
-    if (m_options.highestKnown() > newest) {
+    if (m_options.highestKnownRevision() > newest) {
         return failure(ErrorKind::Unavailable,
             fmt::format("other members serve revision {}, but this node has only {}; it is fetching the newer one, apply again in a second",
-                m_options.highestKnown().value(),
+                m_options.highestKnownRevision().value(),
                 newest.value()));
     }
     // A store restored from an older backup has a head with a lower revision than the nodes serve.
@@ -168,7 +168,7 @@
     base.bundle.manifest.revision = std::max(base.bundle.manifest.revision, base.head.manifest.revision);
     auto merged = mergeHistories(base.bundle.manifest, base.head.manifest);
     base.leftOut = std::move(merged.leftOut);
-    if (merged.taken.empty()) {
+    if (merged.adopted.empty()) {
         return base;
     }
     auto mergedBundle = readBundle(merged.manifest, base.current.get());
@@ -180,7 +180,7 @@
     if (ConfigSnapshot::validate(mergedBundle->files)) {
         base.bundle = std::move(*mergedBundle);
     } else {
-        base.leftOut.insert(base.leftOut.end(), merged.taken.begin(), merged.taken.end());
+        base.leftOut.insert(base.leftOut.end(), merged.adopted.begin(), merged.adopted.end());
     }
     return base;
 }
@@ -267,7 +267,7 @@
     }
     // A retry after many other changes may no longer find its id among the changes kept. Applied
     // again, it would revert what others have changed in the file since.
-    if (request.begunAt && manifest.forgets(*request.begunAt)) {
+    if (request.begunAt && manifest.mayLackChangesAfter(*request.begunAt)) {
         return failure(ErrorKind::OutcomeUnknown,
             fmt::format("{}: apply {} was started at revision {}, but the change history only goes back to revision {}: it is unknown whether it took effect, "
                         "and it was not applied now; compare with 'galenahillctl diff FILE' and apply without --apply-id",
@@ -370,7 +370,7 @@
         return false;
     }
     const auto merged = mergeHistories(inForce, stored);
-    return merged.taken.empty() && merged.leftOut.empty();
+    return merged.adopted.empty() && merged.leftOut.empty();
 }
 
 // Until it is written back, the revision in force exists only in the nodes' memory: if all of them
--- a/src/core/config/configrepository.h
+++ b/src/core/config/configrepository.h
@@ -29,7 +29,7 @@
     std::optional<Revision> begunAt;
     // Whether the id was used before. The first attempt's write may still be in flight, so a retry
     // that fails proves nothing about it.
-    bool repeated = false;
+    bool isRetry = false;
 };
 
 // Result of an accepted apply.
@@ -54,7 +54,7 @@
         // The revision that this node has in force, or null.
         std::function<std::shared_ptr<const ConfigRevision>()> inForce;
         // Highest revision that any member is known to have in force.
-        std::function<Revision()> highestKnown;
+        std::function<Revision()> highestKnownRevision;
         // Seconds since the epoch, for the history only.
         std::function<std::int64_t()> now;
     };
--- a/src/core/config/configvalidator.cpp
+++ b/src/core/config/configvalidator.cpp
@@ -65,7 +65,7 @@
 void ConfigValidator::addError(std::string text)
 {
     ++m_errorCount;
-    if (m_errors.size() < ConfigLimits::MaxFaults) {
+    if (m_errors.size() < ConfigLimits::MaxErrors) {
         m_errors.push_back(std::move(text));
     }
 }
@@ -453,7 +453,7 @@
     }
     // Finding the nearest of thousands of names takes long, so it is skipped for errors that aren't
     // listed.
-    const bool listed = m_errors.size() < ConfigLimits::MaxFaults;
+    const bool listed = m_errors.size() < ConfigLimits::MaxErrors;
     addError(route.file,
         "route " + route.name.value(),
         fmt::format("service = {}: no such service{}; define [service {}] or name an existing one",
--- a/src/core/config/historymerge.cpp
+++ b/src/core/config/historymerge.cpp
@@ -12,7 +12,7 @@
 {
     std::vector<AppliedChange> missing;
     for (const auto &change : history.changes) {
-        if (!other.forgets(change.revision) && !other.change(change.id)) {
+        if (!other.mayLackChangesAfter(change.revision) && !other.change(change.id)) {
             missing.push_back(change);
         }
     }
@@ -56,7 +56,7 @@
             merged.leftOut.push_back(change);
         } else {
             adopt(merged.manifest, stored, change);
-            merged.taken.push_back(change);
+            merged.adopted.push_back(change);
         }
     }
     return merged;
--- a/src/core/config/historymerge.h
+++ b/src/core/config/historymerge.h
@@ -13,7 +13,7 @@
     // force; the adopted changes carry the next number, which is the first revision to have them in
     // force.
     Manifest manifest;
-    std::vector<AppliedChange> taken;
+    std::vector<AppliedChange> adopted;
     // Changes that only the store has and that were left out because the same file was also changed
     // in force.
     std::vector<AppliedChange> leftOut;
--- a/src/core/config/manifest.cpp
+++ b/src/core/config/manifest.cpp
@@ -36,7 +36,7 @@
     return found == changes.rend() ? std::nullopt : std::optional(*found);
 }
 
-bool Manifest::forgets(Revision revision) const
+bool Manifest::mayLackChangesAfter(Revision revision) const
 {
     return changes.size() >= MaxChanges && changes.front().revision > revision;
 }
@@ -51,7 +51,7 @@
 
 Result<Manifest> Manifest::at(Revision earlier) const
 {
-    if (earlier > revision || earlier == Revision() || forgets(earlier)) {
+    if (earlier > revision || earlier == Revision() || mayLackChangesAfter(earlier)) {
         const auto oldest = changes.size() < MaxChanges ? Revision(1) : changes.front().revision;
         return failure(ErrorKind::NotFound, fmt::format("revision {} isn't kept; revisions {} to {} are", earlier.value(), oldest.value(), revision.value()));
     }
--- a/src/core/config/manifest.h
+++ b/src/core/config/manifest.h
@@ -51,7 +51,7 @@
     std::optional<AppliedChange> lastChange(const FileName &file) const;
 
     // Whether changes later than that revision may be missing from the ones kept.
-    bool forgets(Revision revision) const;
+    bool mayLackChangesAfter(Revision revision) const;
 
     void record(AppliedChange change);
 
--- a/src/core/config/platformnodesettings.cpp
+++ b/src/core/config/platformnodesettings.cpp
@@ -79,8 +79,8 @@
         {"fleet",
             {
                 {"seeds", {false, [](S &s, const std::string &value) { return readEndpoints(s.seeds, value); }}},
-                {"repeat-share", {false, fraction<S>([](S &s) -> double & { return s.repeatShare; }, 1)}},
-                {"repeat-slack", {false, fraction<S>([](S &s) -> double & { return s.repeatSlack; }, MaxRetrySlack)}},
+                {"repeat-share", {false, fraction<S>([](S &s) -> double & { return s.retryShare; }, 1)}},
+                {"repeat-slack", {false, fraction<S>([](S &s) -> double & { return s.retrySlack; }, MaxRetrySlack)}},
                 {"load-report-interval-s", {false, seconds<S>([](S &s) -> Milliseconds & { return s.loadReportInterval; }, MaxSeconds)}},
             }},
     };
--- a/src/core/config/platformnodesettings.h
+++ b/src/core/config/platformnodesettings.h
@@ -46,8 +46,8 @@
     Milliseconds stopTimeout{6000};
     // Retry budget of the fleet for each service: a share of its calls, plus a fixed number per
     // window.
-    double repeatShare = 0.1;
-    double repeatSlack = 20;
+    double retryShare = 0.1;
+    double retrySlack = 20;
     // Largest share of a service's calls that a bad version may get during its rollout.
     double rolloutExposure = 0.1;
     // Interval of the reports of the targets' load to other nodes; zero: no reports.
--- a/src/core/config/settingsreader.cpp
+++ b/src/core/config/settingsreader.cpp
@@ -124,12 +124,12 @@
     return errors;
 }
 
-std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error)
+std::string errorText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error)
 {
     return fmt::format("{} [{}] {} = {}: {}", fileName, section, name, value, error);
 }
 
-tl::unexpected<Error> faultsFound(const std::vector<std::string> &errors)
+tl::unexpected<Error> settingsFailure(const std::vector<std::string> &errors)
 {
     return failure(ErrorKind::Invalid, fmt::format("{}", fmt::join(errors, "\n")));
 }
--- a/src/core/config/settingsreader.h
+++ b/src/core/config/settingsreader.h
@@ -49,8 +49,8 @@
 std::vector<std::string> unknownOrMissing(const std::string &fileName, const ConfigDocument &document, const RequiredKeys &keys);
 
 // Joins errors, one per line, into the failure that the caller returns.
-tl::unexpected<Error> faultsFound(const std::vector<std::string> &errors);
-std::string faultText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error);
+tl::unexpected<Error> settingsFailure(const std::vector<std::string> &errors);
+std::string errorText(const std::string &fileName, const std::string &section, const std::string &name, const std::string &value, const std::string &error);
 
 template <typename Settings>
 Reader<Settings> address(std::function<std::string &(Settings &)> field)
@@ -181,12 +181,12 @@
                 continue;
             }
             if (const auto error = key->second.read(settings, value); !error.empty()) {
-                errors.push_back(faultText(fileName, section.name, name, value, error));
+                errors.push_back(errorText(fileName, section.name, name, value, error));
             }
         }
     }
     if (!errors.empty()) {
-        return faultsFound(errors);
+        return settingsFailure(errors);
     }
     return settings;
 }
--- a/src/core/config/storebudget.cpp
+++ b/src/core/config/storebudget.cpp
@@ -29,7 +29,7 @@
 // retries would take the store down again.
 Milliseconds StoreBudget::failed()
 {
-    m_backoff = std::clamp(m_backoff * 2, m_options.firstBackoff, m_options.longestBackoff);
+    m_backoff = std::clamp(m_backoff * 2, m_options.initialBackoff, m_options.maxBackoff);
     return m_backoff / 4 + jitter(m_backoff * 3 / 4);
 }
 
--- a/src/core/config/storebudget.h
+++ b/src/core/config/storebudget.h
@@ -15,8 +15,8 @@
     {
         double callsPerSecond = 2;
         double burst = 12;
-        Milliseconds firstBackoff{200};
-        Milliseconds longestBackoff{10000};
+        Milliseconds initialBackoff{200};
+        Milliseconds maxBackoff{10000};
         std::uint64_t seed = 1;
     };
 
--- a/src/core/fleet/clockwatch.cpp
+++ b/src/core/fleet/clockstepdetector.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet/clockwatch.h"
+#include "core/fleet/clockstepdetector.h"
 
 namespace Galenahill {
 
@@ -9,7 +9,7 @@
 
 }
 
-Milliseconds ClockWatch::observe(TimeOfDay timeOfDay, TimePoint steady)
+Milliseconds ClockStepDetector::observe(TimeOfDay timeOfDay, TimePoint steady)
 {
     const bool first = m_timeOfDay == TimeOfDay();
     const auto drift = std::chrono::duration_cast<Milliseconds>((timeOfDay - m_timeOfDay) - (steady - m_steady));
@@ -22,7 +22,7 @@
     return drift;
 }
 
-std::uint64_t ClockWatch::steps() const
+std::uint64_t ClockStepDetector::steps() const
 {
     return m_steps;
 }
--- a/src/core/fleet/clockwatch.h
+++ b/src/core/fleet/clockstepdetector.h
@@ -8,7 +8,7 @@
 
 // Detects steps of the time of day by comparing it with the steady clock. A suspended VM shows as a
 // step forward. Callers pass the readings in.
-class ClockWatch
+class ClockStepDetector
 {
 public:
     using TimeOfDay = std::chrono::system_clock::time_point;
--- a/src/core/fleet/gossipmessage.h
+++ b/src/core/fleet/gossipmessage.h
@@ -14,9 +14,9 @@
     // Answers a Ping.
     Ack,
     // Carries updates and the sender's revision; not answered.
-    News,
+    Update,
     // Requests an Update with the receiver's own record, which the sender lacks.
-    Introduce,
+    RecordRequest,
 };
 
 // One datagram between nodes. Each carries the sender's revision, so that any exchange shows a node
@@ -24,7 +24,7 @@
 // record is sent only on request.
 struct GossipMessage
 {
-    GossipKind kind = GossipKind::News;
+    GossipKind kind = GossipKind::Update;
     std::uint32_t sequence = 0;
     // Incarnation and state of the sender.
     std::uint64_t incarnation = 0;
--- a/src/core/fleet/loadexchange.cpp
+++ b/src/core/fleet/loadexchange.cpp
@@ -93,7 +93,7 @@
     return d->targets.size();
 }
 
-Milliseconds LoadExchange::oldestTarget(TimePoint now) const
+Milliseconds LoadExchange::oldestTargetAge(TimePoint now) const
 {
     Milliseconds oldest{0};
     for (const auto &[name, known] : d->targets) {
@@ -158,7 +158,7 @@
         return;
     }
     known = {report, observed};
-    options.targetLoad(report.target, {report.calls, report.limit}, Milliseconds(report.waitMs), observed);
+    options.targetLoadReceived(report.target, {report.calls, report.limit}, Milliseconds(report.waitMs), observed);
 }
 
 void LoadExchange::Private::receivePool(const PoolReport &report, TimePoint now)
@@ -180,14 +180,14 @@
         return;
     }
     pool = {report, observed};
-    options.poolLoad(report, observed);
+    options.poolLoadReceived(report, observed);
 }
 
 // A target with a concurrency limit of zero isn't reported: membership spreads its state at once,
 // and a report would keep calls away from a target that has just become ready.
 void LoadExchange::Private::recordLocalLoad(TimePoint now)
 {
-    const auto own = options.ownLoad();
+    const auto own = options.localTargetLoad();
     if (own.load.limit == 0) {
         targets.erase(options.self.name);
         return;
@@ -233,7 +233,7 @@
         sum.report.service = service;
         sum.report.waitMs = static_cast<std::uint32_t>(sum.waitMs / sum.targets);
         pools[{options.self.dataCentre, service}] = {sum.report, now};
-        options.poolLoad(sum.report, now);
+        options.poolLoadReceived(sum.report, now);
     }
 }
 
--- a/src/core/fleet/loadexchange.h
+++ b/src/core/fleet/loadexchange.h
@@ -11,7 +11,7 @@
 namespace Galenahill {
 
 // Load of the target beside this node, and the expected wait of a further call for a slot.
-struct OwnLoad
+struct LocalTargetLoad
 {
     TargetLoad load;
     Milliseconds wait{0};
@@ -37,12 +37,12 @@
         Milliseconds maxTargetAge{1000};
         Milliseconds maxPoolAge{3000};
 
-        std::function<OwnLoad()> ownLoad;
+        std::function<LocalTargetLoad()> localTargetLoad;
         std::function<void(const Endpoint &, const LoadReport &)> send;
         // Called with newer load of a target of the local data centre.
-        std::function<void(const NodeName &, TargetLoad, Milliseconds wait, TimePoint observed)> targetLoad;
+        std::function<void(const NodeName &, TargetLoad, Milliseconds wait, TimePoint observed)> targetLoadReceived;
         // Called with newer load of the targets of a service in a data centre.
-        std::function<void(const PoolReport &, TimePoint observed)> poolLoad;
+        std::function<void(const PoolReport &, TimePoint observed)> poolLoadReceived;
     };
 
     explicit LoadExchange(Options options);
@@ -63,7 +63,7 @@
 
     // Number of targets whose load is known, and the age of the oldest of these loads.
     std::size_t knownTargets() const;
-    Milliseconds oldestTarget(TimePoint now) const;
+    Milliseconds oldestTargetAge(TimePoint now) const;
 
 private:
     class Private;
--- a/src/core/fleet/memberrecord.cpp
+++ b/src/core/fleet/memberrecord.cpp
@@ -23,7 +23,7 @@
     return "gone";
 }
 
-bool isPlausible(const MemberRecord &record)
+bool isValidRecord(const MemberRecord &record)
 {
     // Far above any wall-clock time in milliseconds, far below overflow.
     constexpr std::uint64_t MaxIncarnation = std::uint64_t(1) << 48;
--- a/src/core/fleet/memberrecord.h
+++ b/src/core/fleet/memberrecord.h
@@ -76,7 +76,7 @@
 
 // Whether a member can have sent this record of itself: it has a name, an address, a known state,
 // and an incarnation that a refutation can still exceed.
-bool isPlausible(const MemberRecord &record);
+bool isValidRecord(const MemberRecord &record);
 
 // Whether the newer record replaces the older one.
 bool supersedes(const MemberRecord &newer, const MemberRecord &older);
--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -1,9 +1,9 @@
 #include "core/fleet/membership.h"
 
-#include "core/fleet/gossippeers.h"
 #include "core/fleet/membertable.h"
+#include "core/fleet/peerselector.h"
 #include "core/fleet/probes.h"
-#include "core/fleet/rumourqueue.h"
+#include "core/fleet/updatequeue.h"
 
 #include <algorithm>
 #include <optional>
@@ -36,8 +36,8 @@
     Options options;
     std::mt19937_64 random;
     MemberTable members;
-    GossipPeers peers;
-    RumourQueue updateQueue;
+    PeerSelector peers;
+    UpdateQueue updateQueue;
     std::vector<NodeName> probeOrder;
     std::optional<Probe> probe;
     std::vector<RelayedProbe> relayed;
@@ -92,7 +92,7 @@
     return d->isolated(now);
 }
 
-bool Membership::unanswered() const
+bool Membership::lastProbeUnanswered() const
 {
     return d->lastProbeUnanswered;
 }
@@ -116,14 +116,14 @@
 {
     // A corrupt or hostile datagram: an incarnation that can't be exceeded would keep a member out
     // for good.
-    if (!isPlausible(record)) {
+    if (!isValidRecord(record)) {
         return false;
     }
     if (record.name == options.self.name) {
         refute(record);
         return false;
     }
-    if (!members.take(record, now)) {
+    if (!members.merge(record, now)) {
         return false;
     }
     options.changed();
@@ -149,13 +149,13 @@
 // the comparison each second.
 void Membership::Private::checkSender(const Endpoint &from, const GossipMessage &message)
 {
-    if (message.kind == GossipKind::News || message.kind == GossipKind::Introduce) {
+    if (message.kind == GossipKind::Update || message.kind == GossipKind::RecordRequest) {
         return;
     }
-    const auto *known = members.at(from);
+    const auto *known = members.findByEndpoint(from);
     if (known == nullptr) {
         if (from != options.self.control()) {
-            sendTo(from, {.kind = GossipKind::Introduce});
+            sendTo(from, {.kind = GossipKind::RecordRequest});
         }
         return;
     }
@@ -165,10 +165,10 @@
     if (supersedes(known->record, claimed)) {
         // Declared gone while it was paused or cut off, or restarted with its clock behind; without
         // this record it would never learn what it has to refute.
-        sendTo(from, {.kind = GossipKind::News, .updates = {known->record}});
+        sendTo(from, {.kind = GossipKind::Update, .updates = {known->record}});
     } else if (supersedes(claimed, known->record)) {
         // The rest of its record may have changed with a restart.
-        sendTo(from, {.kind = GossipKind::Introduce});
+        sendTo(from, {.kind = GossipKind::RecordRequest});
     }
 }
 
@@ -178,7 +178,7 @@
         probe.reset();
         localHealthScore = std::max<std::int64_t>(0, localHealthScore - 1);
     }
-    const auto request = std::find_if(relayed.begin(), relayed.end(), [&](const auto &entry) { return entry.ownSequence == sequence; });
+    const auto request = std::find_if(relayed.begin(), relayed.end(), [&](const auto &entry) { return entry.relaySequence == sequence; });
     if (request != relayed.end()) {
         sendTo(request->requester, {.kind = GossipKind::Ack, .sequence = request->requestSequence});
         relayed.erase(request);
@@ -195,13 +195,13 @@
         }
     }
     d->checkSender(from, message);
-    if (auto *sender = d->members.at(from)) {
+    if (auto *sender = d->members.findByEndpoint(from)) {
         sender->revision = std::max(sender->revision, message.revision);
     }
-    d->options.revisionHeard(from, message.revision);
+    d->options.revisionAdvertised(from, message.revision);
     switch (message.kind) {
     case GossipKind::Ping:
-        d->sendTo(from, {.kind = GossipKind::Ack, .sequence = message.sequence, .updates = d->updateQueue.take(d->options.maxUpdates)});
+        d->sendTo(from, {.kind = GossipKind::Ack, .sequence = message.sequence, .updates = d->updateQueue.nextBatch(d->options.maxUpdates)});
         break;
     case GossipKind::PingRequest: {
         const auto sequence = d->nextSequence++;
@@ -212,10 +212,10 @@
     case GossipKind::Ack:
         d->handleAck(message.sequence);
         break;
-    case GossipKind::Introduce:
-        d->sendTo(from, {.kind = GossipKind::News, .updates = {d->options.self}});
+    case GossipKind::RecordRequest:
+        d->sendTo(from, {.kind = GossipKind::Update, .updates = {d->options.self}});
         break;
-    case GossipKind::News:
+    case GossipKind::Update:
         break;
     }
 }
@@ -226,11 +226,11 @@
         const auto name = probeOrder.back();
         probeOrder.pop_back();
         const auto *found = members.find(name);
-        if (found == nullptr || isOut(found->record)) {
+        if (found == nullptr || isGoneOrLeft(found->record)) {
             continue;
         }
         probe = Probe{nextSequence++, name, now, false};
-        sendTo(found->record.control(), {.kind = GossipKind::Ping, .sequence = probe->sequence, .updates = updateQueue.take(options.maxUpdates)});
+        sendTo(found->record.control(), {.kind = GossipKind::Ping, .sequence = probe->sequence, .updates = updateQueue.nextBatch(options.maxUpdates)});
         return;
     }
     for (const auto &[name, member] : members.all()) {
@@ -253,8 +253,8 @@
     lastProbeUnanswered = lastProbeUnanswered || noAnswer;
     if (!probe->indirect && now - probe->sent >= options.probeTimeout) {
         probe->indirect = true;
-        const auto canProbe = [&](const Member &member) { return member.record.name != probe->name && !isOut(member.record); };
-        for (const auto &peer : peers.anywhere(options.indirectProbes, canProbe)) {
+        const auto canProbe = [&](const Member &member) { return member.record.name != probe->name && !isGoneOrLeft(member.record); };
+        for (const auto &peer : peers.selectAny(options.indirectProbes, canProbe)) {
             sendTo(peer.control(), {.kind = GossipKind::PingRequest, .sequence = probe->sequence, .subject = found->record.control()});
         }
     }
@@ -276,11 +276,11 @@
 // unavailable knows no other member.
 void Membership::Private::probeGoneMember(TimePoint now)
 {
-    if (now - lastReconnect < options.reviveInterval) {
+    if (now - lastReconnect < options.reconnectInterval) {
         return;
     }
     lastReconnect = now;
-    for (const auto &peer : peers.anywhere(1, [](const Member &member) { return isOut(member.record); })) {
+    for (const auto &peer : peers.selectAny(1, [](const Member &member) { return isGoneOrLeft(member.record); })) {
         sendTo(peer.control(), {.kind = GossipKind::Ping});
     }
 }
@@ -325,7 +325,7 @@
     }
     std::vector<MemberRecord> expired;
     for (const auto &[name, member] : members.all()) {
-        if (member.record.state == MemberState::Suspect && now - member.since >= suspicionLimit()) {
+        if (member.record.state == MemberState::Suspect && now - member.updatedAt >= suspicionLimit()) {
             expired.push_back(member.record);
         }
     }
@@ -341,7 +341,7 @@
 {
     std::erase_if(members.all(), [&](const auto &entry) {
         const auto &[record, updatedAt, revision] = entry.second;
-        return isOut(record) && now - updatedAt >= (record.state == MemberState::Left ? options.leftRetention : options.goneRetention);
+        return isGoneOrLeft(record) && now - updatedAt >= (record.state == MemberState::Left ? options.leftRetention : options.goneRetention);
     });
     std::erase_if(relayed, [&](const auto &entry) { return now - entry.sent >= options.probeInterval; });
 }
@@ -361,15 +361,15 @@
 void Membership::Private::sendRevision()
 {
     const auto revision = options.revision();
-    const auto lacks = [&](const Member &member) { return !isOut(member.record) && member.revision < revision; };
+    const auto lacks = [&](const Member &member) { return !isGoneOrLeft(member.record) && member.revision < revision; };
     --revisionRoundsLeft;
-    auto recipients = peers.mostlyNear(options.fanOut, lacks);
+    auto recipients = peers.selectMostlyLocal(options.fanOut, lacks);
     if (revisionRoundsLeft == 0) {
         const auto next = successorsWithout(revision);
         recipients.insert(recipients.end(), next.begin(), next.end());
     }
     for (const auto &peer : recipients) {
-        sendTo(peer.control(), {.kind = GossipKind::News});
+        sendTo(peer.control(), {.kind = GossipKind::Update});
     }
 }
 
@@ -385,9 +385,9 @@
     if (updateQueue.empty()) {
         return;
     }
-    const auto updates = updateQueue.take(options.maxUpdates);
-    for (const auto &peer : peers.mostlyNear(options.fanOut, [](const Member &member) { return !isOut(member.record); })) {
-        sendTo(peer.control(), {.kind = GossipKind::News, .updates = updates});
+    const auto updates = updateQueue.nextBatch(options.maxUpdates);
+    for (const auto &peer : peers.selectMostlyLocal(options.fanOut, [](const Member &member) { return !isGoneOrLeft(member.record); })) {
+        sendTo(peer.control(), {.kind = GossipKind::Update, .updates = updates});
     }
 }
 
@@ -477,7 +477,7 @@
 std::vector<MemberRecord> Membership::live() const
 {
     auto records = this->records();
-    std::erase_if(records, [this](const MemberRecord &record) { return record.name != d->options.self.name && isOut(record); });
+    std::erase_if(records, [this](const MemberRecord &record) { return record.name != d->options.self.name && isGoneOrLeft(record); });
     return records;
 }
 
--- a/src/core/fleet/membership.h
+++ b/src/core/fleet/membership.h
@@ -27,7 +27,7 @@
         // Interval between two rounds of sending queued updates.
         Milliseconds gossipInterval{100};
         // Interval between two probes of members that are gone or have left.
-        Milliseconds reviveInterval{5000};
+        Milliseconds reconnectInterval{5000};
         // Time for which a member that left is remembered, so that an old record of it in flight
         // doesn't add it again.
         Milliseconds leftRetention{120000};
@@ -53,7 +53,7 @@
         // Called when the set of members or the state of one has changed.
         std::function<void()> changed;
         // Called with the revision that the member at this control address has in force.
-        std::function<void(const Endpoint &, Revision)> revisionHeard;
+        std::function<void(const Endpoint &, Revision)> revisionAdvertised;
         // Returns the revision that this node has in force.
         std::function<Revision()> revision;
     };
@@ -96,7 +96,7 @@
 
     // Whether the last probe is unanswered and no datagram was received since. Detects isolation
     // sooner than `isolated`, with occasional false alarms.
-    bool unanswered() const;
+    bool lastProbeUnanswered() const;
 
 private:
     class Private;
--- a/src/core/fleet/membertable.cpp
+++ b/src/core/fleet/membertable.cpp
@@ -4,18 +4,18 @@
 
 namespace Galenahill {
 
-bool isOut(const MemberRecord &record)
+bool isGoneOrLeft(const MemberRecord &record)
 {
     return record.state >= MemberState::Gone;
 }
 
-bool MemberTable::take(const MemberRecord &record, TimePoint now)
+bool MemberTable::merge(const MemberRecord &record, TimePoint now)
 {
     const auto known = m_members.find(record.name);
     if (known != m_members.end() && !supersedes(record, known->second.record)) {
         return false;
     }
-    const bool unknownAndGone = known == m_members.end() && isOut(record);
+    const bool unknownAndGone = known == m_members.end() && isGoneOrLeft(record);
     if (unknownAndGone) {
         return false;
     }
@@ -32,9 +32,9 @@
     for (auto &[name, member] : m_members) {
         auto &other = member.record;
         const bool predecessor = other.control() == record.control() && name != record.name && other.incarnation < record.incarnation;
-        if (predecessor && !isOut(other)) {
+        if (predecessor && !isGoneOrLeft(other)) {
             other.state = MemberState::Gone;
-            member.since = now;
+            member.updatedAt = now;
         }
     }
 }
@@ -45,9 +45,9 @@
     return found == m_members.end() ? nullptr : &found->second;
 }
 
-MemberTable::Member *MemberTable::at(const Endpoint &control)
+MemberTable::Member *MemberTable::findByEndpoint(const Endpoint &control)
 {
-    const auto rank = [](const MemberRecord &record) { return std::tuple(!isOut(record), record.incarnation); };
+    const auto rank = [](const MemberRecord &record) { return std::tuple(!isGoneOrLeft(record), record.incarnation); };
     Member *found = nullptr;
     for (auto &[name, member] : m_members) {
         const auto &record = member.record;
@@ -77,7 +77,7 @@
 void MemberTable::touch(TimePoint now)
 {
     for (auto &[name, member] : m_members) {
-        member.since = now;
+        member.updatedAt = now;
     }
 }
 
@@ -89,7 +89,7 @@
         if (next == m_members.end()) {
             next = m_members.begin();
         }
-        if (!isOut(next->second.record)) {
+        if (!isGoneOrLeft(next->second.record)) {
             found.push_back(next->second.record);
         }
     }
--- a/src/core/fleet/membertable.h
+++ b/src/core/fleet/membertable.h
@@ -9,7 +9,7 @@
 namespace Galenahill {
 
 // Whether the member was declared gone or has left.
-bool isOut(const MemberRecord &record);
+bool isGoneOrLeft(const MemberRecord &record);
 
 // The other members as one member knows them, by name.
 class MemberTable
@@ -19,7 +19,7 @@
     {
         MemberRecord record;
         // When the record last changed, or was touched.
-        TimePoint since;
+        TimePoint updatedAt;
         // Highest revision that it has advertised.
         Revision revision;
     };
@@ -27,14 +27,14 @@
     // Stores the record if it supersedes the known one, and returns whether it did. An unknown
     // member that is gone or has left isn't added. Earlier members at the same address are marked
     // gone.
-    bool take(const MemberRecord &record, TimePoint now);
+    bool merge(const MemberRecord &record, TimePoint now);
 
     // The member of that name, or null.
     Member *find(const NodeName &name);
 
     // The member at the control address, or null. If several members had the address one after the
     // other, the current one.
-    Member *at(const Endpoint &control);
+    Member *findByEndpoint(const Endpoint &control);
 
     // All members, in name order.
     std::map<NodeName, Member> &all();
--- a/src/core/fleet/gossippeers.h
+++ b/src/core/fleet/peerselector.h
@@ -9,7 +9,7 @@
 namespace Galenahill {
 
 // Selects random members of a table as the peers of one protocol round.
-class GossipPeers
+class PeerSelector
 {
 public:
     using Condition = std::function<bool(const MemberTable::Member &)>;
@@ -22,15 +22,15 @@
         std::uint32_t bridgesPerDataCentre = 8;
     };
 
-    GossipPeers(const MemberTable &members, std::mt19937_64 &random, Options options);
+    PeerSelector(const MemberTable &members, std::mt19937_64 &random, Options options);
 
     // Random members of any data centre that meet the condition.
-    std::vector<MemberRecord> anywhere(std::size_t count, const Condition &condition) const;
+    std::vector<MemberRecord> selectAny(std::size_t count, const Condition &condition) const;
 
     // Random members of the local data centre that meet the condition, one of them now and then
     // replaced by a member of another data centre. If the local data centre has no more than
     // `count` members, other ones fill the rest.
-    std::vector<MemberRecord> mostlyNear(std::size_t count, const Condition &condition) const;
+    std::vector<MemberRecord> selectMostlyLocal(std::size_t count, const Condition &condition) const;
 
 private:
     const MemberTable &m_members;
--- a/src/core/fleet/probes.h
+++ b/src/core/fleet/probes.h
@@ -19,7 +19,7 @@
 // A ping sent on behalf of another member, whose Ack is to be relayed.
 struct RelayedProbe
 {
-    std::uint32_t ownSequence = 0;
+    std::uint32_t relaySequence = 0;
     std::uint32_t requestSequence = 0;
     Endpoint requester;
     TimePoint sent;
--- a/src/core/fleet/readinessgate.cpp
+++ b/src/core/fleet/readinessgate.cpp
@@ -15,7 +15,7 @@
     m_storeFailed = true;
 }
 
-void ReadinessGate::memberHeard(const Endpoint &member, Revision revision)
+void ReadinessGate::revisionAdvertised(const Endpoint &member, Revision revision)
 {
     if (m_ready) {
         return;
@@ -31,7 +31,7 @@
 // route callers by a configuration that its predecessor at the same address had already replaced.
 // Asking several members tolerates one that is behind; several members behind while the store is
 // unavailable remain a risk.
-bool ReadinessGate::open(Revision held, std::size_t members)
+bool ReadinessGate::checkReady(Revision held, std::size_t members)
 {
     const auto needed = std::min(RequiredMembers, std::max<std::size_t>(members, 1));
     const bool enoughMembers = m_storeFailed && m_advertisers.size() >= needed;
--- a/src/core/fleet/readinessgate.h
+++ b/src/core/fleet/readinessgate.h
@@ -20,11 +20,11 @@
     void storeFailed();
 
     // A member advertised the revision that it has in force.
-    void memberHeard(const Endpoint &member, Revision revision);
+    void revisionAdvertised(const Endpoint &member, Revision revision);
 
     // Returns whether a node that holds this revision and knows this many other live members is
     // ready.
-    bool open(Revision held, std::size_t members);
+    bool checkReady(Revision held, std::size_t members);
 
 private:
     static constexpr std::size_t RequiredMembers = 3;
--- a/src/core/fleet/rendezvous.cpp
+++ b/src/core/fleet/rendezvous.cpp
@@ -25,7 +25,7 @@
     return static_cast<std::size_t>(before) < count;
 }
 
-std::size_t rankOf(const std::string &role, const MemberRecord &self, const std::vector<MemberRecord> &members)
+std::size_t rendezvousRank(const std::string &role, const MemberRecord &self, const std::vector<MemberRecord> &members)
 {
     const auto own = weight(role, self);
     return static_cast<std::size_t>(
--- a/src/core/fleet/rendezvous.h
+++ b/src/core/fleet/rendezvous.h
@@ -12,6 +12,6 @@
 bool holdsRole(const std::string &role, std::size_t count, const MemberRecord &self, const std::vector<MemberRecord> &live);
 
 // Number of members before `self` in the rendezvous-hash order of the role.
-std::size_t rankOf(const std::string &role, const MemberRecord &self, const std::vector<MemberRecord> &members);
+std::size_t rendezvousRank(const std::string &role, const MemberRecord &self, const std::vector<MemberRecord> &members);
 
 }
--- a/src/core/fleet/revisionholder.cpp
+++ b/src/core/fleet/revisionholder.cpp
@@ -2,24 +2,24 @@
 
 namespace Galenahill {
 
-RevisionHolder::Verdict RevisionHolder::offer(std::shared_ptr<const ConfigRevision> revision)
+RevisionHolder::OfferResult RevisionHolder::offer(std::shared_ptr<const ConfigRevision> revision)
 {
     const std::lock_guard lock(m_mutex);
     if (m_inForce) {
         if (revision->digest == m_inForce->digest) {
-            return Verdict::Known;
+            return OfferResult::Known;
         }
         // Messages are reordered and stores are restored from backups: without this check a late
         // older revision would revert accepted changes.
         if (revision->revision() < m_inForce->revision()) {
-            return Verdict::Older;
+            return OfferResult::Older;
         }
         if (revision->revision() == m_inForce->revision()) {
-            return Verdict::Forked;
+            return OfferResult::Forked;
         }
     }
     m_inForce = std::move(revision);
-    return Verdict::Taken;
+    return OfferResult::Adopted;
 }
 
 std::shared_ptr<const ConfigRevision> RevisionHolder::current() const
--- a/src/core/fleet/revisionholder.h
+++ b/src/core/fleet/revisionholder.h
@@ -11,8 +11,8 @@
 class RevisionHolder
 {
 public:
-    enum class Verdict {
-        Taken,
+    enum class OfferResult {
+        Adopted,
         // The revision in force was offered again.
         Known,
         // Older than the one in force; never adopted, whoever sends it.
@@ -23,7 +23,7 @@
     };
 
     // Puts the revision in force if it is newer than the current one.
-    Verdict offer(std::shared_ptr<const ConfigRevision> revision);
+    OfferResult offer(std::shared_ptr<const ConfigRevision> revision);
 
     // The revision in force, or null before the first.
     std::shared_ptr<const ConfigRevision> current() const;
--- a/src/core/fleet/revisionpuller.cpp
+++ b/src/core/fleet/revisionpuller.cpp
@@ -9,9 +9,9 @@
 {
 }
 
-void RevisionPuller::heard(const Endpoint &peer, Revision revision, TimePoint now)
+void RevisionPuller::revisionAdvertised(const Endpoint &peer, Revision revision, TimePoint now)
 {
-    if (revision <= m_options.held()) {
+    if (revision <= m_options.revision()) {
         return;
     }
     if (m_sources.size() < m_options.maxSources || m_sources.contains(peer)) {
@@ -25,13 +25,13 @@
 
 bool RevisionPuller::withinWatchGracePeriod(TimePoint now) const
 {
-    return m_options.patience && m_behindSince != TimePoint::max() && now - m_behindSince < m_options.patience();
+    return m_options.watchGracePeriod && m_behindSince != TimePoint::max() && now - m_behindSince < m_options.watchGracePeriod();
 }
 
 // A member whose pull ends is no longer a source until it advertises a newer revision again. The
 // other sources are kept: otherwise a member that dies after advertising would delay this node
 // until some later datagram happens to show the revision.
-void RevisionPuller::ended(const Endpoint &peer, TimePoint now)
+void RevisionPuller::pullEnded(const Endpoint &peer, TimePoint now)
 {
     m_running.erase(peer);
     m_sources.erase(peer);
@@ -53,7 +53,7 @@
 
 void RevisionPuller::start(TimePoint now)
 {
-    const auto held = m_options.held();
+    const auto held = m_options.revision();
     std::erase_if(m_sources, [&](const auto &source) { return source.second <= held; });
     if (m_sources.empty()) {
         m_behindSince = TimePoint::max();
--- a/src/core/fleet/revisionpuller.h
+++ b/src/core/fleet/revisionpuller.h
@@ -21,22 +21,22 @@
         // Time for which a newer revision may be known before it is pulled from a member. A node
         // that watches the store gives its own watch this time, since a pull would transfer the
         // same change once more. Null for none.
-        std::function<Milliseconds()> patience;
+        std::function<Milliseconds()> watchGracePeriod;
         std::size_t maxRunning = 2;
         std::size_t maxSources = 16;
         // Starts a pull; `pullEnded` must be called for each.
         std::function<void(const Endpoint &)> pull;
         // Returns the revision that this node holds.
-        std::function<Revision()> held;
+        std::function<Revision()> revision;
     };
 
     explicit RevisionPuller(Options options);
 
     // A member advertised the revision that it has in force.
-    void heard(const Endpoint &peer, Revision revision, TimePoint now);
+    void revisionAdvertised(const Endpoint &peer, Revision revision, TimePoint now);
 
     // The pull from that member has ended, successfully or not.
-    void ended(const Endpoint &peer, TimePoint now);
+    void pullEnded(const Endpoint &peer, TimePoint now);
 
     // Starts pulls whose grace period is over, and hedges slow ones.
     void tick(TimePoint now);
--- a/src/core/fleet/targetregistration.cpp
+++ b/src/core/fleet/targetregistration.cpp
@@ -13,10 +13,10 @@
     return !m_target || target.startedAt > m_target->startedAt;
 }
 
-TargetRegistration::Verdict TargetRegistration::announced(const TargetAnnouncement &target, TimePoint now)
+TargetRegistration::RegistrationResult TargetRegistration::targetAnnounced(const TargetAnnouncement &target, TimePoint now)
 {
     if (target.address != m_options.address || target.service != m_options.service) {
-        return Verdict::Foreign;
+        return RegistrationResult::Foreign;
     }
     if (isLaterStart(target)) {
         const bool leftBeforeAnnounced = m_leftBeforeAnnounced == target.id;
@@ -24,41 +24,41 @@
         m_leaving = target.draining || leftBeforeAnnounced;
         m_connectionLost = false;
         m_lastContact = now;
-        return Verdict::Taken;
+        return RegistrationResult::Accepted;
     }
     const bool sameStart = target.startedAt == m_target->startedAt && target.id == m_target->id;
     if (!sameStart) {
-        return Verdict::Stale;
+        return RegistrationResult::Stale;
     }
     // Leaving is final for one start: a delayed earlier announcement would otherwise make a target
     // ready again that was promised no more calls.
     m_leaving = m_leaving || target.draining;
     if (target.sequence <= m_target->sequence) {
-        return Verdict::Stale;
+        return RegistrationResult::Stale;
     }
     m_target = target;
     m_connectionLost = false;
     m_lastContact = now;
-    return Verdict::Taken;
+    return RegistrationResult::Accepted;
 }
 
-TargetRegistration::Verdict TargetRegistration::left(const std::string &id, std::optional<std::int64_t> startedAt)
+TargetRegistration::RegistrationResult TargetRegistration::leaveAnnounced(const std::string &id, std::optional<std::int64_t> startedAt)
 {
     if (!m_target) {
         m_leftBeforeAnnounced = id;
-        return Verdict::Taken;
+        return RegistrationResult::Accepted;
     }
     if (id != m_target->id) {
-        return Verdict::Stale;
+        return RegistrationResult::Stale;
     }
     if (startedAt && *startedAt < m_target->startedAt) {
-        return Verdict::Stale;
+        return RegistrationResult::Stale;
     }
     m_leaving = true;
-    return Verdict::Taken;
+    return RegistrationResult::Accepted;
 }
 
-void TargetRegistration::checked(const std::string &id, bool healthy, TimePoint now)
+void TargetRegistration::healthChecked(const std::string &id, bool healthy, TimePoint now)
 {
     if (m_target && m_target->id == id && healthy) {
         m_trusted = true;
@@ -66,14 +66,14 @@
     }
 }
 
-void TargetRegistration::lost()
+void TargetRegistration::targetUnreachable()
 {
     m_connectionLost = true;
 }
 
 // A restarted node doesn't know whether its previous process was told that the target leaves. An
 // announcement alone doesn't show it: a delayed one may be older than the leaving message.
-bool TargetRegistration::needsCheck() const
+bool TargetRegistration::needsHealthCheck() const
 {
     return m_target && !m_trusted && !m_leaving;
 }
@@ -86,7 +86,7 @@
     if (m_leaving) {
         return MemberState::Draining;
     }
-    const bool timedOut = now - m_lastContact > m_options.silence;
+    const bool timedOut = now - m_lastContact > m_options.heartbeatTimeout;
     return !m_trusted || m_connectionLost || timedOut ? MemberState::Starting : MemberState::Ready;
 }
 
--- a/src/core/fleet/targetregistration.h
+++ b/src/core/fleet/targetregistration.h
@@ -28,7 +28,7 @@
     std::uint32_t slots = 1;
     bool draining = false;
     // Remaining time for which it is slow after its start.
-    Milliseconds warmUpLeft{0};
+    Milliseconds warmUpRemaining{0};
 };
 
 // Tracks the one target beside this node through its announcements, which may be late, duplicated,
@@ -45,12 +45,12 @@
         // node can have been told that the target leaves.
         bool firstStart = false;
         // Time without an announcement after which the target counts as not ready.
-        Milliseconds silence{6000};
+        Milliseconds heartbeatTimeout{6000};
     };
 
-    enum class Verdict {
+    enum class RegistrationResult {
         // New information; the state may have changed.
-        Taken,
+        Accepted,
         // Known already, or superseded by a later announcement.
         Stale,
         // Not from the target beside this node.
@@ -59,20 +59,20 @@
 
     explicit TargetRegistration(Options options);
 
-    Verdict announced(const TargetAnnouncement &target, TimePoint now);
+    RegistrationResult targetAnnounced(const TargetAnnouncement &target, TimePoint now);
 
     // The target with this id accepts no more calls. The start time is given if the target sent it.
-    Verdict left(const std::string &id, std::optional<std::int64_t> startedAt);
+    RegistrationResult leaveAnnounced(const std::string &id, std::optional<std::int64_t> startedAt);
 
     // The target answered a health check.
-    void checked(const std::string &id, bool healthy, TimePoint now);
+    void healthChecked(const std::string &id, bool healthy, TimePoint now);
 
     // A connection to the target was refused or broke. The target counts as not ready until its
     // next announcement.
-    void lost();
+    void targetUnreachable();
 
     // Whether the target needs a health check before its first call.
-    bool needsCheck() const;
+    bool needsHealthCheck() const;
 
     MemberState state(TimePoint now) const;
 
--- a/src/core/fleet/rumourqueue.cpp
+++ b/src/core/fleet/updatequeue.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet/rumourqueue.h"
+#include "core/fleet/updatequeue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,13 +16,13 @@
 
 }
 
-void RumourQueue::add(const MemberRecord &record, std::size_t fleetSize)
+void UpdateQueue::add(const MemberRecord &record, std::size_t fleetSize)
 {
     std::erase_if(m_updates, [&](const QueuedUpdate &update) { return update.record.name == record.name; });
     m_updates.push_back({record, rounds(fleetSize)});
 }
 
-std::vector<MemberRecord> RumourQueue::take(std::size_t maxRecords)
+std::vector<MemberRecord> UpdateQueue::nextBatch(std::size_t maxRecords)
 {
     std::vector<MemberRecord> records;
     // Least often sent first, so that old updates don't delay new ones.
@@ -39,7 +39,7 @@
     return records;
 }
 
-bool RumourQueue::empty() const
+bool UpdateQueue::empty() const
 {
     return m_updates.empty();
 }
--- a/src/core/fleet/rumourqueue.h
+++ b/src/core/fleet/updatequeue.h
@@ -7,7 +7,7 @@
 namespace Galenahill {
 
 // Member records to send to other members, each for a bounded number of rounds.
-class RumourQueue
+class UpdateQueue
 {
 public:
     // Queues a record, replacing an older one of the same member, for as many rounds as a fleet of
@@ -15,7 +15,7 @@
     void add(const MemberRecord &record, std::size_t fleetSize);
 
     // Returns the least often sent records and counts one round for each.
-    std::vector<MemberRecord> take(std::size_t maxRecords);
+    std::vector<MemberRecord> nextBatch(std::size_t maxRecords);
 
     bool empty() const;
 
--- a/src/core/fleet/watcherchoice.cpp
+++ b/src/core/fleet/watcherselection.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet/watcherchoice.h"
+#include "core/fleet/watcherselection.h"
 
 #include "core/fleet/rendezvous.h"
 
@@ -15,7 +15,7 @@
 
 }
 
-bool WatcherChoice::chooses(const MemberRecord &self, const std::vector<MemberRecord> &live) const
+bool WatcherSelection::selects(const MemberRecord &self, const std::vector<MemberRecord> &live) const
 {
     // A suspect may be dead; its role is taken over before that is certain.
     std::vector<MemberRecord> healthy;
@@ -30,13 +30,13 @@
     for (const auto &member : healthy) {
         fast[member.dataCentre] += isFast(member) ? 1 : 0;
     }
-    const auto share = most / std::max<std::size_t>(fast.size(), 1);
-    const auto watchersEach = std::min(perDataCentre, std::max(share, leastPerDataCentre));
+    const auto share = maxTotal / std::max<std::size_t>(fast.size(), 1);
+    const auto watchersEach = std::min(maxPerDataCentre, std::max(share, minPerDataCentre));
     std::size_t watchers = 0;
     for (const auto &[dataCentre, count] : fast) {
         watchers += std::min(count, watchersEach);
     }
-    if (watchers < enough) {
+    if (watchers < sufficientFastWatchers) {
         return holdsRole("watch", watchersEach, self, healthy);
     }
     std::vector<MemberRecord> candidates;
--- a/src/core/rollouts/rolloutcontrol.cpp
+++ b/src/core/rollouts/rolloutcontroller.cpp
@@ -1,4 +1,4 @@
-#include "core/rollouts/rolloutcontrol.h"
+#include "core/rollouts/rolloutcontroller.h"
 
 #include "core/rollouts/rolloutentry.h"
 #include "core/rollouts/rolloutlimits.h"
@@ -20,7 +20,7 @@
 
 }
 
-class RolloutControl::Private
+class RolloutController::Private
 {
 public:
     explicit Private(Options given)
@@ -57,104 +57,104 @@
     void broadcast(const RolloutEntry &entry, TimePoint now);
 };
 
-RolloutControl::RolloutControl(Options options)
+RolloutController::RolloutController(Options options)
     : d(std::make_unique<Private>(std::move(options)))
 {
 }
 
-RolloutControl::~RolloutControl() = default;
+RolloutController::~RolloutController() = default;
 
-SharePlan::Options RolloutControl::Private::planOptions() const
+SharePlan::Options RolloutController::Private::planOptions() const
 {
     return {.exposureShare = options.exposureShare};
 }
 
-RolloutEntry *RolloutControl::Private::entry(const ServiceName &service)
+RolloutEntry *RolloutController::Private::entry(const ServiceName &service)
 {
     const auto found = entries.find(service);
     return found == entries.end() ? nullptr : &found->second;
 }
 
-void RolloutControl::Private::changed(const RolloutEntry &entry, const std::string &why, TimePoint now)
+void RolloutController::Private::changed(const RolloutEntry &entry, const std::string &why, TimePoint now)
 {
     options.changed(entry.record(now), why);
 }
 
 // A spec replaces any earlier one for the same service.
-void RolloutControl::Private::begin(RolloutRecord record, bool awaitsPeerRecords, const std::string &why, TimePoint now)
+void RolloutController::Private::begin(RolloutRecord record, bool awaitsPeerRecords, const std::string &why, TimePoint now)
 {
-    const auto service = record.order.service;
+    const auto service = record.spec.service;
     if (entries.size() >= RolloutLimits::MaxServices && !entries.contains(service)) {
         ++dropped;
         return;
     }
     const auto at = entries.insert_or_assign(service, RolloutEntry(std::move(record), planOptions(), now)).first;
     if (awaitsPeerRecords) {
-        at->second.awaitEvidence();
+        at->second.awaitPeerRecords();
     }
     nextWrite.erase(service);
     changed(at->second, why, now);
 }
 
-void RolloutControl::setMembers(const std::vector<MemberRecord> &members, TimePoint now)
+void RolloutController::setMembers(const std::vector<MemberRecord> &members, TimePoint now)
 {
     d->started = d->started == TimePoint() ? now : d->started;
     d->peers.setMembers(members);
 }
 
-void RolloutControl::setOwnVersion(const TargetVersion &version, TimePoint warmFrom)
+void RolloutController::setLocalVersion(const TargetVersion &version, TimePoint warmFrom)
 {
     d->localVersion = version;
     d->warmFrom = warmFrom;
 }
 
-void RolloutControl::orderRead(const StoredRollout &stored, bool listed, TimePoint now)
+void RolloutController::specRead(const StoredRollout &stored, bool listed, TimePoint now)
 {
-    auto *known = d->entry(stored.order.service);
-    if (known != nullptr && known->order() == stored.order) {
-        if (known->takeStored(stored.version, stored.stage, now)) {
+    auto *known = d->entry(stored.spec.service);
+    if (known != nullptr && known->spec() == stored.spec) {
+        if (known->mergeStored(stored.version, stored.stage, now)) {
             d->changed(*known, "read from the store", now);
         }
         return;
     }
-    const bool older = known != nullptr && known->record(now).seen >= stored.version;
+    const bool older = known != nullptr && known->record(now).storeVersion >= stored.version;
     if (older) {
         return;
     }
     const bool ended = stored.stage && isFinal(*stored.stage);
-    RolloutRecord record{.order = stored.order, .seen = stored.version, .stage = ended ? *stored.stage : RolloutStage::Running};
+    RolloutRecord record{.spec = stored.spec, .storeVersion = stored.version, .stage = ended ? *stored.stage : RolloutStage::Running};
     d->begin(record, listed && stored.stage == RolloutStage::Running, ended ? "the rollout had already ended" : "an operator created the rollout", now);
-    auto *begun = d->entry(stored.order.service);
+    auto *begun = d->entry(stored.spec.service);
     if (begun == nullptr || ended) {
         return;
     }
-    begun->takeStored(stored.version, stored.stage, now);
-    const auto targets = VersionCensus::of(stored.order, d->peers.members());
-    if (targets.others.empty() && !targets.ofVersion.empty() && now - d->started >= FleetKnownAfter) {
-        begun->supposeInForce();
+    begun->mergeStored(stored.version, stored.stage, now);
+    const auto targets = TargetsByVersion::build(stored.spec, d->peers.members());
+    if (targets.otherVersionTargets.empty() && !targets.newVersionTargets.empty() && now - d->started >= FleetKnownAfter) {
+        begun->assumeInForce();
     }
 }
 
-void RolloutControl::orderRemoved(const ServiceName &service, TimePoint now)
+void RolloutController::specRemoved(const ServiceName &service, TimePoint now)
 {
     auto *known = d->entry(service);
-    if (known != nullptr && !isFinal(known->stage()) && known->takeStored(known->record(now).seen, RolloutStage::RolledBack, now)) {
+    if (known != nullptr && !isFinal(known->stage()) && known->mergeStored(known->record(now).storeVersion, RolloutStage::RolledBack, now)) {
         d->changed(*known, "an operator removed the rollout", now);
         d->broadcast(*known, now);
     }
 }
 
-void RolloutControl::ordersListed(const std::vector<ServiceName> &services, ObjectVersion version, TimePoint now)
+void RolloutController::specsListed(const std::vector<ServiceName> &services, ObjectVersion version, TimePoint now)
 {
     for (const auto &[service, entry] : d->entries) {
         const bool listed = std::find(services.begin(), services.end(), service) != services.end();
-        if (!listed && entry.record(now).seen <= version) {
-            orderRemoved(service, now);
+        if (!listed && entry.record(now).storeVersion <= version) {
+            specRemoved(service, now);
         }
     }
 }
 
-void RolloutControl::receive(const Endpoint &from, const RolloutReport &report, TimePoint now)
+void RolloutController::receive(const Endpoint &from, const RolloutReport &report, TimePoint now)
 {
     const bool tooMany = report.records.size() > RolloutLimits::MaxServices || report.counts.size() > RolloutLimits::MaxServices;
     if (!d->peers.isMember(from) || tooMany) {
@@ -169,15 +169,15 @@
     }
 }
 
-void RolloutControl::Private::receiveRecord(const RolloutRecord &record, TimePoint now)
+void RolloutController::Private::receiveRecord(const RolloutRecord &record, TimePoint now)
 {
-    if (!isPlausible(record)) {
+    if (!isValidRecord(record)) {
         ++dropped;
         return;
     }
-    auto *known = entry(record.order.service);
-    const auto merged = known == nullptr ? RolloutMerge::Order : known->merge(record, now);
-    if (merged == RolloutMerge::Order) {
+    auto *known = entry(record.spec.service);
+    const auto merged = known == nullptr ? RolloutMerge::Spec : known->merge(record, now);
+    if (merged == RolloutMerge::Spec) {
         begin(record, false, "reported by another node", now);
     } else if (merged == RolloutMerge::Stage) {
         changed(*known, "reported by another node", now);
@@ -185,27 +185,28 @@
 }
 
 // Only the node beside a target may report its call counts.
-void RolloutControl::Private::receiveCounts(const TargetCounts &counts, TimePoint now)
+void RolloutController::Private::receiveCounts(const TargetCounts &counts, TimePoint now)
 {
     auto *known = entry(counts.service);
     const bool belongs = peers.serves(counts.node, counts.service);
-    const bool current = known != nullptr && known->order().created == counts.order;
+    const bool current = known != nullptr && known->spec().created == counts.specCreated;
     if (!belongs || !current || !known->merge(counts, now)) {
         ++dropped;
     }
 }
 
 // The counts start from zero with a new spec and when the version of the local target changes.
-void RolloutControl::Private::resetCountsFor(const RolloutEntry &entry)
+void RolloutController::Private::resetCountsFor(const RolloutEntry &entry)
 {
-    const auto &spec = entry.order();
-    if (localCounts.order == spec.created && localCounts.service == spec.service && localCounts.version == localVersion) {
+    const auto &spec = entry.spec();
+    if (localCounts.specCreated == spec.created && localCounts.service == spec.service && localCounts.version == localVersion) {
         return;
     }
-    localCounts = {.node = options.self.name, .process = options.self.incarnation, .service = spec.service, .version = localVersion, .order = spec.created};
+    localCounts
+        = {.node = options.self.name, .process = options.self.incarnation, .service = spec.service, .version = localVersion, .specCreated = spec.created};
 }
 
-void RolloutControl::callEnded(const RouteName &route, TargetEnd result, Milliseconds time, TimePoint now)
+void RolloutController::callEnded(const RouteName &route, TargetResult result, Milliseconds time, TimePoint now)
 {
     const auto *known = d->entry(d->options.self.service);
     if (known == nullptr || known->stage() >= RolloutStage::CutOff || d->localVersion.value().empty()) {
@@ -223,10 +224,10 @@
     counts->add(result, time, now >= d->warmFrom);
 }
 
-void RolloutControl::Private::evaluateAll(TimePoint now)
+void RolloutController::Private::evaluateAll(TimePoint now)
 {
     for (auto &[service, entry] : entries) {
-        if (entry.judge(VersionCensus::of(entry.order(), peers.members()), now)) {
+        if (entry.evaluate(TargetsByVersion::build(entry.spec(), peers.members()), now)) {
             changed(entry, entry.record(now).reason, now);
             broadcast(entry, now);
         }
@@ -235,58 +236,58 @@
 
 // Notifies all members directly: a cut-off has to take effect without delay, and a promotion
 // everywhere at the same time.
-void RolloutControl::Private::broadcast(const RolloutEntry &entry, TimePoint now)
+void RolloutController::Private::broadcast(const RolloutEntry &entry, TimePoint now)
 {
     const RolloutReport update{.records = {entry.record(now)}};
-    for (const auto &peer : peers.others()) {
+    for (const auto &peer : peers.peerAddresses()) {
         options.send(peer, update);
     }
 }
 
-RolloutReport RolloutControl::Private::records(TimePoint now) const
+RolloutReport RolloutController::Private::records(TimePoint now) const
 {
     RolloutReport report;
     for (const auto &[service, entry] : entries) {
-        if (entry.isCertain()) {
+        if (entry.isReportable()) {
             report.records.push_back(entry.record(now));
         }
     }
     return report;
 }
 
-void RolloutControl::Private::sendStages(TimePoint now)
+void RolloutController::Private::sendStages(TimePoint now)
 {
     const auto report = records(now);
     for (std::size_t i = 0; i < options.fanOut && !report.records.empty(); ++i) {
-        if (const auto peer = peers.next()) {
+        if (const auto peer = peers.randomPeer()) {
             options.send(*peer, report);
         }
     }
 }
 
-void RolloutControl::Private::sendCounts(const RolloutEntry &entry, TimePoint now)
+void RolloutController::Private::sendCounts(const RolloutEntry &entry, TimePoint now)
 {
     if (entry.stage() >= RolloutStage::CutOff || localVersion.value().empty()) {
         return;
     }
     resetCountsFor(entry);
-    ++localCounts.report;
-    const auto rule = entry.rule(VersionCensus::of(entry.order(), peers.members()), now);
+    ++localCounts.sequence;
+    const auto rule = entry.rule(TargetsByVersion::build(entry.spec(), peers.members()), now);
     const bool replaced = rule && rule->mode == VersionRule::Mode::Only && rule->version != localVersion;
     localCounts.retired = replaced && options.targetIdle();
-    retiredUntil = localCounts.retired ? now + RetirementPromise : retiredUntil;
-    if (peers.isJudge()) {
+    retiredUntil = localCounts.retired ? now + RetirementLease : retiredUntil;
+    if (peers.isEvaluator()) {
         receiveCounts(localCounts, now);
     }
-    for (const auto &peer : peers.judges()) {
+    for (const auto &peer : peers.evaluators()) {
         options.send(peer, {.counts = {localCounts}});
     }
 }
 
-void RolloutControl::Private::report(TimePoint now)
+void RolloutController::Private::report(TimePoint now)
 {
     const bool active = std::any_of(entries.begin(), entries.end(), [&](const auto &item) { return item.second.isActive(now); });
-    const auto interval = active ? options.reportInterval : options.restInterval;
+    const auto interval = active ? options.reportInterval : options.idleInterval;
     if (entries.empty() || now - lastReport < interval) {
         return;
     }
@@ -297,7 +298,7 @@
     }
 }
 
-void RolloutControl::tick(TimePoint now)
+void RolloutController::tick(TimePoint now)
 {
     if (d->entries.empty()) {
         return;
@@ -306,49 +307,49 @@
         entry.tick(now);
     }
     d->report(now);
-    if (d->peers.isJudge()) {
+    if (d->peers.isEvaluator()) {
         d->evaluateAll(now);
     }
 }
 
-VersionRules RolloutControl::rules(TimePoint now) const
+VersionRules RolloutController::rules(TimePoint now) const
 {
     VersionRules rules;
     for (const auto &[service, entry] : d->entries) {
-        if (auto rule = entry.rule(VersionCensus::of(entry.order(), d->peers.members()), now)) {
+        if (auto rule = entry.rule(TargetsByVersion::build(entry.spec(), d->peers.members()), now)) {
             rules.emplace(service, std::move(*rule));
         }
     }
     return rules;
 }
 
-std::optional<VersionRule> RolloutControl::ownRule(TimePoint now) const
+std::optional<VersionRule> RolloutController::localRule(TimePoint now) const
 {
     const auto *known = d->entry(d->options.self.service);
     if (known == nullptr) {
         return std::nullopt;
     }
-    auto rule = known->rule(VersionCensus::of(known->order(), d->peers.members()), now);
+    auto rule = known->rule(TargetsByVersion::build(known->spec(), d->peers.members()), now);
     if (rule && known->stage() == RolloutStage::CutOff && now < d->retiredUntil) {
         rule->mode = VersionRule::Mode::Only;
     }
     return rule;
 }
 
-bool RolloutControl::isJudge() const
+bool RolloutController::isEvaluator() const
 {
-    return d->peers.isJudge();
+    return d->peers.isEvaluator();
 }
 
-std::vector<RolloutWrite> RolloutControl::dueWrites(TimePoint now)
+std::vector<RolloutWrite> RolloutController::dueWrites(TimePoint now)
 {
     std::vector<RolloutWrite> writes;
-    if (!d->peers.isJudge()) {
+    if (!d->peers.isEvaluator()) {
         return writes;
     }
     const auto stagger = WriteStagger * static_cast<int>(d->peers.rank());
     for (const auto &[service, entry] : d->entries) {
-        const auto stage = entry.wantedInStore(VersionCensus::of(entry.order(), d->peers.members()), now);
+        const auto stage = entry.pendingStage(TargetsByVersion::build(entry.spec(), d->peers.members()), now);
         auto &next = d->nextWrite[service];
         if (!stage) {
             next = TimePoint();
@@ -360,27 +361,27 @@
         if (now >= next) {
             next = now + WriteRetry;
             const auto record = entry.record(now);
-            writes.push_back({.order = entry.order(), .stage = *stage, .expected = record.seen, .reason = record.reason});
+            writes.push_back({.spec = entry.spec(), .stage = *stage, .expected = record.storeVersion, .reason = record.reason});
         }
     }
     return writes;
 }
 
-void RolloutControl::written(const RolloutWrite &write, ObjectVersion version, TimePoint now)
+void RolloutController::writeCompleted(const RolloutWrite &write, ObjectVersion version, TimePoint now)
 {
-    auto *known = d->entry(write.order.service);
-    if (known != nullptr && known->order() == write.order && known->takeStored(version, write.stage, now)) {
+    auto *known = d->entry(write.spec.service);
+    if (known != nullptr && known->spec() == write.spec && known->mergeStored(version, write.stage, now)) {
         d->changed(*known, "written to the store", now);
         d->broadcast(*known, now);
     }
 }
 
-std::uint64_t RolloutControl::dropped() const
+std::uint64_t RolloutController::dropped() const
 {
     return d->dropped;
 }
 
-std::vector<RolloutControl::Status> RolloutControl::status(TimePoint now) const
+std::vector<RolloutController::Status> RolloutController::status(TimePoint now) const
 {
     std::vector<Status> all;
     for (const auto &[service, entry] : d->entries) {
--- a/src/core/rollouts/rolloutcontrol.h
+++ b/src/core/rollouts/rolloutcontroller.h
@@ -18,7 +18,7 @@
 // A rollout spec as read from the store, with the stage that the store holds.
 struct StoredRollout
 {
-    RolloutOrder order;
+    RolloutSpec spec;
     // The store's version of the object.
     ObjectVersion version;
     // Stage in the store: Running, RolledBack or Succeeded; none if no stage has been written yet.
@@ -28,7 +28,7 @@
 // A stage to write to the store, provided that the object still has the expected version.
 struct RolloutWrite
 {
-    RolloutOrder order;
+    RolloutSpec spec;
     RolloutStage stage = RolloutStage::Running;
     ObjectVersion expected;
     std::string reason;
@@ -43,7 +43,7 @@
 // stages there. Any of them may decide; conflicting decisions are resolved by the order of the
 // stages and by the store's conditional write. Single-threaded; time comes in through arguments,
 // and datagrams leave through a callback.
-class RolloutControl
+class RolloutController
 {
 public:
     struct Options
@@ -54,7 +54,7 @@
         double exposureShare = 0.1;
         // Interval of reports to other nodes while a rollout is active, and afterwards.
         Milliseconds reportInterval{200};
-        Milliseconds restInterval{2000};
+        Milliseconds idleInterval{2000};
         // Number of members that each report of the stages is sent to.
         std::size_t fanOut = 2;
 
@@ -65,31 +65,31 @@
         std::function<void(const RolloutRecord &record, const std::string &why)> changed;
     };
 
-    explicit RolloutControl(Options options);
-    ~RolloutControl();
+    explicit RolloutController(Options options);
+    ~RolloutController();
 
     // Sets all members that aren't gone, including this one.
     void setMembers(const std::vector<MemberRecord> &members, TimePoint now);
 
     // Sets the version of the local target, and the time from which it is warm; until then its
     // latencies aren't counted.
-    void setOwnVersion(const TargetVersion &version, TimePoint warmFrom);
+    void setLocalVersion(const TargetVersion &version, TimePoint warmFrom);
 
     // A spec was read from the store, either in a list of all or as a change.
-    void orderRead(const StoredRollout &stored, bool listed, TimePoint now);
+    void specRead(const StoredRollout &stored, bool listed, TimePoint now);
 
     // An operator removed the rollout of that service.
-    void orderRemoved(const ServiceName &service, TimePoint now);
+    void specRemoved(const ServiceName &service, TimePoint now);
 
     // The services of all specs in the store at that version; rollouts of other services were
     // removed.
-    void ordersListed(const std::vector<ServiceName> &services, ObjectVersion version, TimePoint now);
+    void specsListed(const std::vector<ServiceName> &services, ObjectVersion version, TimePoint now);
 
     // Handles a report from another node.
     void receive(const Endpoint &from, const RolloutReport &report, TimePoint now);
 
     // The local target finished a call of the route with that latency.
-    void callEnded(const RouteName &route, TargetEnd result, Milliseconds time, TimePoint now);
+    void callEnded(const RouteName &route, TargetResult result, Milliseconds time, TimePoint now);
 
     // Sends reports and evaluates the rollouts when due; call it every 100 ms.
     void tick(TimePoint now);
@@ -99,17 +99,17 @@
 
     // The rule for the local target. It keeps the retirement lease that this node has reported to
     // the evaluators, unless the store holds the final stage.
-    std::optional<VersionRule> ownRule(TimePoint now) const;
+    std::optional<VersionRule> localRule(TimePoint now) const;
 
     // Whether this node watches the specs in the store and writes the stages.
-    bool isJudge() const;
+    bool isEvaluator() const;
 
     // Stages that this node has to write now. Each is returned once a second until `written` is
     // called for it or the stage is read from the store.
     std::vector<RolloutWrite> dueWrites(TimePoint now);
 
     // A write to the store succeeded.
-    void written(const RolloutWrite &write, ObjectVersion version, TimePoint now);
+    void writeCompleted(const RolloutWrite &write, ObjectVersion version, TimePoint now);
 
     // Number of reports, and of entries in reports, that were dropped because the sender or the
     // node is unknown or a value is out of range.
--- a/src/core/rollouts/rolloutentry.cpp
+++ b/src/core/rollouts/rolloutentry.cpp
@@ -37,9 +37,9 @@
 constexpr double MinTargetRatio = 0.5;
 constexpr double MinRemainingTargetRatio = 0.25;
 
-double targetRatio(const VersionCensus &targets)
+double targetRatio(const TargetsByVersion &targets)
 {
-    return static_cast<double>(targets.ofVersion.size()) / static_cast<double>(std::max<std::size_t>(targets.othersReady, 1));
+    return static_cast<double>(targets.newVersionTargets.size()) / static_cast<double>(std::max<std::size_t>(targets.otherVersionReadyCount, 1));
 }
 
 }
@@ -49,11 +49,11 @@
     , m_plan(plan)
     , m_begun(now - Milliseconds(m_record.ageMs))
     , m_stageSince(now)
-    , m_test({.version = m_record.order.version})
+    , m_test({.version = m_record.spec.version})
 {
 }
 
-void RolloutEntry::awaitEvidence()
+void RolloutEntry::awaitPeerRecords()
 {
     m_awaitsPeerRecords = true;
 }
@@ -67,7 +67,7 @@
     }
 }
 
-void RolloutEntry::supposeInForce()
+void RolloutEntry::assumeInForce()
 {
     m_inForce = true;
 }
@@ -80,9 +80,9 @@
     return record;
 }
 
-const RolloutOrder &RolloutEntry::order() const
+const RolloutSpec &RolloutEntry::spec() const
 {
-    return m_record.order;
+    return m_record.spec;
 }
 
 RolloutStage RolloutEntry::stage() const
@@ -105,7 +105,7 @@
     return !isFinal(stage()) || now - m_stageSince < EndPropagation;
 }
 
-bool RolloutEntry::isCertain() const
+bool RolloutEntry::isReportable() const
 {
     return !m_awaitsPeerRecords;
 }
@@ -131,10 +131,10 @@
 {
     auto local = record(now);
     const auto merged = mergeRollout(local, remote);
-    if (merged == RolloutMerge::Order) {
+    if (merged == RolloutMerge::Spec) {
         return merged;
     }
-    if (remote.order == local.order) {
+    if (remote.spec == local.spec) {
         m_awaitsPeerRecords = false;
     }
     m_begun = std::min<TimePoint>(m_begun, now - Milliseconds(local.ageMs));
@@ -150,9 +150,9 @@
     return m_counts.merge(counts, now);
 }
 
-bool RolloutEntry::takeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now)
+bool RolloutEntry::mergeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now)
 {
-    m_record.seen = std::max(m_record.seen, version);
+    m_record.storeVersion = std::max(m_record.storeVersion, version);
     if (!stage) {
         return false;
     }
@@ -165,7 +165,7 @@
     return moveTo(RolloutStage::CutOff, std::move(reason), now);
 }
 
-bool RolloutEntry::judge(const VersionCensus &targets, TimePoint now)
+bool RolloutEntry::evaluate(const TargetsByVersion &targets, TimePoint now)
 {
     const bool decided = m_awaitsPeerRecords || m_inForce || stage() >= RolloutStage::CutOff;
     if (decided || now - m_lastObserved < EvaluationInterval) {
@@ -176,32 +176,33 @@
         return cutOff("too few targets of the new version are left to run all calls", now);
     }
     m_test.observe(m_counts, now);
-    if (m_test.convicts()) {
+    if (m_test.detectsRegression()) {
         const auto *finding = m_test.failureScore() > m_test.slownessScore() ? "fails more often than" : "is slower than";
         return cutOff(fmt::format("the new version {} the other targets: {}", finding, m_test.summary()), now);
     }
     const auto current = record(now);
     if (m_plan.isTooLate(current)) {
         const auto *cause
-            = targets.ofVersion.empty() ? "no target of the version accepts calls" : "the comparison wasn't conclusive enough to promote it in time";
+            = targets.newVersionTargets.empty() ? "no target of the version accepts calls" : "the comparison wasn't conclusive enough to promote it in time";
         return cutOff(fmt::format("{}: {}", cause, m_test.summary()), now);
     }
     return m_plan.mayPromote(current) && isReadyToPromote(targets) && moveTo(RolloutStage::Promoting, m_test.summary(), now);
 }
 
-bool RolloutEntry::isReadyToPromote(const VersionCensus &targets) const
+bool RolloutEntry::isReadyToPromote(const TargetsByVersion &targets) const
 {
     const bool proven
         = m_test.calls() >= MinCalls && std::max(m_test.failureScore(), m_test.slownessScore()) < DoubtfulScoreRatio * VersionTest::Options().threshold;
-    return proven && !targets.ofVersion.empty() && targetRatio(targets) >= MinTargetRatio;
+    return proven && !targets.newVersionTargets.empty() && targetRatio(targets) >= MinTargetRatio;
 }
 
-bool RolloutEntry::othersRetired(const VersionCensus &targets, TimePoint now) const
+bool RolloutEntry::othersRetired(const TargetsByVersion &targets, TimePoint now) const
 {
-    return std::all_of(targets.others.begin(), targets.others.end(), [&](const NodeName &node) { return m_counts.isRetired(node, now); });
+    return std::all_of(
+        targets.otherVersionTargets.begin(), targets.otherVersionTargets.end(), [&](const NodeName &node) { return m_counts.isRetired(node, now); });
 }
 
-std::optional<RolloutStage> RolloutEntry::wantedInStore(const VersionCensus &targets, TimePoint now) const
+std::optional<RolloutStage> RolloutEntry::pendingStage(const TargetsByVersion &targets, TimePoint now) const
 {
     auto wanted = RolloutStage::Running;
     if (m_awaitsPeerRecords || isFinal(stage())) {
@@ -220,14 +221,14 @@
 
 // Selects targets by rendezvous hashing, so that all nodes that know the same members select the
 // same ones.
-std::vector<NodeName> RolloutEntry::loadPhaseTargets(const SharePlan::Step &step, const VersionCensus &targets) const
+std::vector<NodeName> RolloutEntry::loadPhaseTargets(const SharePlan::Step &step, const TargetsByVersion &targets) const
 {
     if (step.targets == 0) {
         return {};
     }
-    auto selected = targets.ofVersion;
+    auto selected = targets.newVersionTargets;
     const auto weight = [&](const NodeName &node) {
-        const auto text = fmt::format("{}/{}/{}", m_record.order.created.value(), step.spell, node.value());
+        const auto text = fmt::format("{}/{}/{}", m_record.spec.created.value(), step.loadPhase, node.value());
         return XXH3_64bits(text.data(), text.size());
     };
     std::sort(selected.begin(), selected.end(), [&](const NodeName &left, const NodeName &right) { return weight(left) > weight(right); });
@@ -235,10 +236,10 @@
     return selected;
 }
 
-std::optional<VersionRule> RolloutEntry::rule(const VersionCensus &targets, TimePoint now) const
+std::optional<VersionRule> RolloutEntry::rule(const TargetsByVersion &targets, TimePoint now) const
 {
     using Mode = VersionRule::Mode;
-    VersionRule rule{.version = m_record.order.version};
+    VersionRule rule{.version = m_record.spec.version};
     if (m_awaitsPeerRecords || stage() == RolloutStage::CutOff || stage() == RolloutStage::RolledBack) {
         rule.mode = Mode::Excluded;
         return rule;
--- a/src/core/rollouts/rolloutentry.h
+++ b/src/core/rollouts/rolloutentry.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "core/rollouts/evidencetable.h"
 #include "core/rollouts/shareplan.h"
-#include "core/rollouts/versioncensus.h"
+#include "core/rollouts/targetcounttable.h"
+#include "core/rollouts/targetsbyversion.h"
 #include "core/rollouts/versionrule.h"
 #include "core/rollouts/versiontest.h"
 
@@ -20,18 +20,18 @@
 
     // Marks a rollout that had started before this node learnt of it. Its version gets no calls
     // until another node reports its record.
-    void awaitEvidence();
+    void awaitPeerRecords();
 
     // Restarts the rollout if no node has reported its record in time, which means that all nodes
     // were restarted. The share plan leaves room for that.
     void tick(TimePoint now);
 
     // All targets already have the version, so there are no calls to move.
-    void supposeInForce();
+    void assumeInForce();
 
     // The record with its current age.
     RolloutRecord record(TimePoint now) const;
-    const RolloutOrder &order() const;
+    const RolloutSpec &spec() const;
     RolloutStage stage() const;
     SharePlan::Step step(TimePoint now) const;
 
@@ -39,7 +39,7 @@
     bool isActive(TimePoint now) const;
 
     // Whether the record may be reported to other nodes; false while it waits for their records.
-    bool isCertain() const;
+    bool isReportable() const;
 
     // Merges a record of another node. If it belongs to a later spec, nothing is merged and the
     // caller replaces the entry.
@@ -47,26 +47,26 @@
     bool merge(const TargetCounts &counts, TimePoint now);
 
     // Merges what the store holds; returns whether the stage changed.
-    bool takeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now);
+    bool mergeStored(ObjectVersion version, std::optional<RolloutStage> stage, TimePoint now);
 
     // Stops all calls to the version.
     bool cutOff(std::string reason, TimePoint now);
 
     // Evaluates the call counts and advances the stage if that is due; returns whether it did.
-    bool judge(const VersionCensus &targets, TimePoint now);
+    bool evaluate(const TargetsByVersion &targets, TimePoint now);
 
     // The stage that has to be written to the store; none if the store holds it already.
-    std::optional<RolloutStage> wantedInStore(const VersionCensus &targets, TimePoint now) const;
+    std::optional<RolloutStage> pendingStage(const TargetsByVersion &targets, TimePoint now) const;
 
-    std::optional<VersionRule> rule(const VersionCensus &targets, TimePoint now) const;
+    std::optional<VersionRule> rule(const TargetsByVersion &targets, TimePoint now) const;
 
     const VersionTest &test() const;
 
 private:
     bool moveTo(RolloutStage stage, std::string reason, TimePoint now);
-    bool isReadyToPromote(const VersionCensus &targets) const;
-    bool othersRetired(const VersionCensus &targets, TimePoint now) const;
-    std::vector<NodeName> loadPhaseTargets(const SharePlan::Step &step, const VersionCensus &targets) const;
+    bool isReadyToPromote(const TargetsByVersion &targets) const;
+    bool othersRetired(const TargetsByVersion &targets, TimePoint now) const;
+    std::vector<NodeName> loadPhaseTargets(const SharePlan::Step &step, const TargetsByVersion &targets) const;
 
     RolloutRecord m_record;
     SharePlan m_plan;
@@ -76,7 +76,7 @@
     bool m_awaitsPeerRecords = false;
     bool m_inForce = false;
     std::optional<RolloutStage> m_stored;
-    EvidenceTable m_counts;
+    TargetCountTable m_counts;
     VersionTest m_test;
 };
 
--- a/src/core/rollouts/rolloutpeers.cpp
+++ b/src/core/rollouts/rolloutpeers.cpp
@@ -45,7 +45,7 @@
         m_others.push_back(member.control());
         (member.dataCentre == m_self.dataCentre ? m_local : m_remote).push_back(member.control());
     }
-    m_rank = rankOf(EvaluatorRole, m_self, allEvaluators);
+    m_rank = rendezvousRank(EvaluatorRole, m_self, allEvaluators);
     for (const auto &member : allEvaluators) {
         if (member.name != m_self.name) {
             m_evaluators.push_back(member.control());
@@ -69,7 +69,7 @@
     return found != m_services.end() && found->second == service;
 }
 
-bool RolloutPeers::isJudge() const
+bool RolloutPeers::isEvaluator() const
 {
     return m_isEvaluator;
 }
@@ -79,17 +79,17 @@
     return m_rank;
 }
 
-const std::vector<Endpoint> &RolloutPeers::judges() const
+const std::vector<Endpoint> &RolloutPeers::evaluators() const
 {
     return m_evaluators;
 }
 
-const std::vector<Endpoint> &RolloutPeers::others() const
+const std::vector<Endpoint> &RolloutPeers::peerAddresses() const
 {
     return m_others;
 }
 
-std::optional<Endpoint> RolloutPeers::next()
+std::optional<Endpoint> RolloutPeers::randomPeer()
 {
     const bool toRemote = m_local.empty() || std::uniform_int_distribution<int>(0, ReportsPerRemoteReport - 1)(m_random) == 0;
     const auto &peers = toRemote && !m_remote.empty() ? m_remote : m_local;
--- a/src/core/rollouts/rolloutpeers.h
+++ b/src/core/rollouts/rolloutpeers.h
@@ -30,15 +30,15 @@
     bool serves(const NodeName &node, const ServiceName &service) const;
 
     // Whether this node is an evaluator, and how many evaluators rank before it.
-    bool isJudge() const;
+    bool isEvaluator() const;
     std::size_t rank() const;
 
     // The other evaluators, and all other members.
-    const std::vector<Endpoint> &judges() const;
-    const std::vector<Endpoint> &others() const;
+    const std::vector<Endpoint> &evaluators() const;
+    const std::vector<Endpoint> &peerAddresses() const;
 
     // A random member, usually of the local data centre; none if there are no others.
-    std::optional<Endpoint> next();
+    std::optional<Endpoint> randomPeer();
 
 private:
     MemberRecord m_self;
--- a/src/core/rollouts/rolloutrecord.cpp
+++ b/src/core/rollouts/rolloutrecord.cpp
@@ -30,14 +30,14 @@
 
 RolloutMerge mergeRollout(RolloutRecord &local, const RolloutRecord &remote)
 {
-    if (!(remote.order == local.order)) {
-        if (remote.seen <= local.seen) {
+    if (!(remote.spec == local.spec)) {
+        if (remote.storeVersion <= local.storeVersion) {
             return RolloutMerge::Nothing;
         }
         local = remote;
-        return RolloutMerge::Order;
+        return RolloutMerge::Spec;
     }
-    local.seen = std::max(local.seen, remote.seen);
+    local.storeVersion = std::max(local.storeVersion, remote.storeVersion);
     local.ageMs = std::max(local.ageMs, remote.ageMs);
     if (remote.stage == RolloutStage::Promoting && local.stage == RolloutStage::Promoting) {
         local.promotedAtMs = std::min(local.promotedAtMs, remote.promotedAtMs);
@@ -51,9 +51,9 @@
     return RolloutMerge::Stage;
 }
 
-bool isPlausible(const RolloutRecord &record)
+bool isValidRecord(const RolloutRecord &record)
 {
-    const auto &spec = record.order;
+    const auto &spec = record.spec;
     const bool namesValid = !spec.service.value().empty() && spec.service.value().size() <= RolloutLimits::MaxNameBytes && !spec.version.value().empty()
         && spec.version.value().size() <= RolloutLimits::MaxNameBytes;
     const bool durationValid = spec.duration >= RolloutLimits::MinDuration && spec.duration <= RolloutLimits::MaxDuration;
--- a/src/core/rollouts/rolloutrecord.h
+++ b/src/core/rollouts/rolloutrecord.h
@@ -8,7 +8,7 @@
 namespace Galenahill {
 
 // An operator's request to move a service's calls to the targets of another version.
-struct RolloutOrder
+struct RolloutSpec
 {
     ServiceName service;
     TargetVersion version;
@@ -18,7 +18,7 @@
     // equal.
     ObjectVersion created;
 
-    friend bool operator==(const RolloutOrder &, const RolloutOrder &) = default;
+    friend bool operator==(const RolloutSpec &, const RolloutSpec &) = default;
 };
 
 // Stages of a rollout; a rollout never returns to an earlier one.
@@ -43,9 +43,9 @@
 // What a node knows about the latest rollout of one service.
 struct RolloutRecord
 {
-    RolloutOrder order;
+    RolloutSpec spec;
     // Highest version of the store at which the spec was read. A later spec has a higher one.
-    ObjectVersion seen;
+    ObjectVersion storeVersion;
     RolloutStage stage = RolloutStage::Running;
     // Time since any node first read the spec.
     std::uint32_t ageMs = 0;
@@ -61,7 +61,7 @@
     // The same spec reached a later stage.
     Stage,
     // The record belongs to another, later spec.
-    Order,
+    Spec,
 };
 
 // Merges another node's record into the local one. The result doesn't depend on the order in which
@@ -69,22 +69,22 @@
 RolloutMerge mergeRollout(RolloutRecord &local, const RolloutRecord &remote);
 
 // Whether the record is valid: names within their length limit and times in range.
-bool isPlausible(const RolloutRecord &record);
+bool isValidRecord(const RolloutRecord &record);
 
 template <typename Inspector>
 auto inspect(Inspector &inspector, RolloutRecord &record)
 {
-    auto duration = static_cast<std::uint64_t>(record.order.duration.count());
-    auto result = inspector(record.order.service,
-        record.order.version,
+    auto duration = static_cast<std::uint64_t>(record.spec.duration.count());
+    auto result = inspector(record.spec.service,
+        record.spec.version,
         duration,
-        record.order.created,
-        record.seen,
+        record.spec.created,
+        record.storeVersion,
         record.stage,
         record.ageMs,
         record.promotedAtMs,
         record.reason);
-    record.order.duration = Milliseconds(static_cast<std::int64_t>(duration));
+    record.spec.duration = Milliseconds(static_cast<std::int64_t>(duration));
     return result;
 }
 
--- a/src/core/rollouts/shareplan.cpp
+++ b/src/core/rollouts/shareplan.cpp
@@ -32,7 +32,7 @@
 
 double fractionOf(std::uint32_t timeMs, const RolloutRecord &record)
 {
-    return static_cast<double>(timeMs) / static_cast<double>(record.order.duration.count());
+    return static_cast<double>(timeMs) / static_cast<double>(record.spec.duration.count());
 }
 
 // The number of the load phase, counted from one; zero outside of them.
@@ -54,7 +54,7 @@
     switch (record.stage) {
     case RolloutStage::Running:
         if (const auto phase = loadPhaseAt(fractionOf(record.ageMs, record)); phase > 0) {
-            return {.share = std::min(1.0, LoadFactor * m_options.exposureShare), .targets = LoadPhaseTargets, .spell = phase, .name = "load"};
+            return {.share = std::min(1.0, LoadFactor * m_options.exposureShare), .targets = LoadPhaseTargets, .loadPhase = phase, .name = "load"};
         }
         return {.share = ProbeFactor * m_options.exposureShare, .name = "probe"};
     case RolloutStage::Promoting: {
--- a/src/core/rollouts/shareplan.h
+++ b/src/core/rollouts/shareplan.h
@@ -24,7 +24,7 @@
         // Number of targets that get these calls; zero: all targets of the version.
         std::size_t targets = 0;
         // Number of the load phase; each selects other targets.
-        unsigned spell = 0;
+        unsigned loadPhase = 0;
         // Name of the step, for the log.
         const char *name = "";
 
--- a/src/core/rollouts/evidencetable.cpp
+++ b/src/core/rollouts/targetcounttable.cpp
@@ -1,4 +1,4 @@
-#include "core/rollouts/evidencetable.h"
+#include "core/rollouts/targetcounttable.h"
 
 #include "core/rollouts/rolloutlimits.h"
 
@@ -14,9 +14,9 @@
 bool inRange(const RouteCounts &counts)
 {
     const bool named = !counts.route.value().empty() && counts.route.value().size() <= RolloutLimits::MaxNameBytes;
-    const bool bounded = counts.calls <= MaxCalls && counts.failures <= counts.calls && counts.times.size() <= TimeRange::Count;
-    return named && bounded && std::all_of(counts.times.begin(), counts.times.end(), [&](const TimeRange &times) {
-        return times.range < TimeRange::Count && times.calls <= counts.calls;
+    const bool bounded = counts.calls <= MaxCalls && counts.failures <= counts.calls && counts.latencies.size() <= LatencyBucket::Count;
+    return named && bounded && std::all_of(counts.latencies.begin(), counts.latencies.end(), [&](const LatencyBucket &times) {
+        return times.index < LatencyBucket::Count && times.calls <= counts.calls;
     });
 }
 
@@ -24,10 +24,10 @@
 {
     held.calls = std::max(held.calls, reported.calls);
     held.failures = std::max(held.failures, reported.failures);
-    for (const auto &times : reported.times) {
-        const auto same = std::find_if(held.times.begin(), held.times.end(), [&](const TimeRange &known) { return known.range == times.range; });
-        if (same == held.times.end()) {
-            held.times.push_back(times);
+    for (const auto &times : reported.latencies) {
+        const auto same = std::find_if(held.latencies.begin(), held.latencies.end(), [&](const LatencyBucket &known) { return known.index == times.index; });
+        if (same == held.latencies.end()) {
+            held.latencies.push_back(times);
         } else {
             same->calls = std::max(same->calls, times.calls);
         }
@@ -36,7 +36,7 @@
 
 }
 
-bool EvidenceTable::merge(const TargetCounts &counts, TimePoint now)
+bool TargetCountTable::merge(const TargetCounts &counts, TimePoint now)
 {
     if (counts.routes.size() > RolloutLimits::MaxRoutes || !std::all_of(counts.routes.begin(), counts.routes.end(), inRange)) {
         return false;
@@ -46,8 +46,8 @@
         return false;
     }
     auto &held = m_counts.try_emplace(source, counts).first->second;
-    if (counts.report >= held.report) {
-        held.report = counts.report;
+    if (counts.sequence >= held.sequence) {
+        held.sequence = counts.sequence;
         held.retired = counts.retired;
         m_lastReported[source] = now;
     }
@@ -62,19 +62,19 @@
     return true;
 }
 
-const std::map<EvidenceTable::Source, TargetCounts> &EvidenceTable::all() const
+const std::map<TargetCountTable::Source, TargetCounts> &TargetCountTable::all() const
 {
     return m_counts;
 }
 
-bool EvidenceTable::isRetired(const NodeName &node, TimePoint now) const
+bool TargetCountTable::isRetired(const NodeName &node, TimePoint now) const
 {
     std::uint64_t latest = 0;
     bool retired = false;
     for (const auto &[source, counts] : m_counts) {
         if (source.node == node && source.process >= latest) {
             latest = source.process;
-            retired = counts.retired && now - m_lastReported.at(source) <= RetirementBelief;
+            retired = counts.retired && now - m_lastReported.at(source) <= RetirementValidity;
         }
     }
     return retired;
--- a/src/core/rollouts/evidencetable.h
+++ b/src/core/rollouts/targetcounttable.h
@@ -10,7 +10,7 @@
 
 // The call counts of all targets of one service since a rollout spec was created, by node and
 // process. Reports may arrive late, twice and out of order, so each count keeps its highest value.
-class EvidenceTable
+class TargetCountTable
 {
 public:
     // One process of the node beside a target, together with one version of that target.
--- a/src/core/rollouts/versioncensus.cpp
+++ b/src/core/rollouts/targetsbyversion.cpp
@@ -1,10 +1,10 @@
-#include "core/rollouts/versioncensus.h"
+#include "core/rollouts/targetsbyversion.h"
 
 namespace Galenahill {
 
-VersionCensus VersionCensus::of(const RolloutOrder &spec, const std::vector<MemberRecord> &members)
+TargetsByVersion TargetsByVersion::build(const RolloutSpec &spec, const std::vector<MemberRecord> &members)
 {
-    VersionCensus targets;
+    TargetsByVersion targets;
     for (const auto &member : members) {
         const bool included = member.service == spec.service && member.state < MemberState::Gone && !member.version.value().empty();
         if (!included) {
@@ -12,10 +12,10 @@
         }
         const bool acceptsCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
         if (member.version != spec.version) {
-            targets.others.push_back(member.name);
-            targets.othersReady += acceptsCalls ? 1 : 0;
+            targets.otherVersionTargets.push_back(member.name);
+            targets.otherVersionReadyCount += acceptsCalls ? 1 : 0;
         } else if (acceptsCalls) {
-            targets.ofVersion.push_back(member.name);
+            targets.newVersionTargets.push_back(member.name);
         }
     }
     return targets;
--- a/src/core/rollouts/versioncensus.h
+++ b/src/core/rollouts/targetsbyversion.h
@@ -8,16 +8,16 @@
 namespace Galenahill {
 
 // The targets of a service grouped by version, as reported by the members.
-struct VersionCensus
+struct TargetsByVersion
 {
     // Targets of the new version that accept calls.
-    std::vector<NodeName> ofVersion;
+    std::vector<NodeName> newVersionTargets;
     // Targets of other versions: the number of those that accept calls, and the names of all whose
     // VM is alive.
-    std::size_t othersReady = 0;
-    std::vector<NodeName> others;
+    std::size_t otherVersionReadyCount = 0;
+    std::vector<NodeName> otherVersionTargets;
 
-    static VersionCensus of(const RolloutOrder &spec, const std::vector<MemberRecord> &members);
+    static TargetsByVersion build(const RolloutSpec &spec, const std::vector<MemberRecord> &members);
 };
 
 }
--- a/src/core/rollouts/versioncounts.cpp
+++ b/src/core/rollouts/versioncounts.cpp
@@ -5,23 +5,23 @@
 
 namespace Galenahill {
 
-std::uint8_t TimeRange::of(Milliseconds time)
+std::uint8_t LatencyBucket::indexOf(Milliseconds time)
 {
     const auto doublings = std::log2(static_cast<double>(std::max<std::int64_t>(time.count(), 1)));
-    return static_cast<std::uint8_t>(std::min(doublings * PerDouble, GivenUp - 1.0));
+    return static_cast<std::uint8_t>(std::min(doublings * BucketsPerDoubling, Abandoned - 1.0));
 }
 
-void RouteCounts::add(TargetEnd result, Milliseconds time, bool timed)
+void RouteCounts::add(TargetResult result, Milliseconds time, bool timed)
 {
     ++calls;
-    failures += result == TargetEnd::Failed ? 1 : 0;
+    failures += result == TargetResult::Failed ? 1 : 0;
     if (!timed) {
         return;
     }
-    const auto bucket = result == TargetEnd::GivenUp ? TimeRange::GivenUp : TimeRange::of(time);
-    const auto found = std::find_if(times.begin(), times.end(), [&](const TimeRange &item) { return item.range == bucket; });
-    if (found == times.end()) {
-        times.push_back({bucket, 1});
+    const auto bucket = result == TargetResult::Abandoned ? LatencyBucket::Abandoned : LatencyBucket::indexOf(time);
+    const auto found = std::find_if(latencies.begin(), latencies.end(), [&](const LatencyBucket &item) { return item.index == bucket; });
+    if (found == latencies.end()) {
+        latencies.push_back({bucket, 1});
     } else {
         ++found->calls;
     }
--- a/src/core/rollouts/versioncounts.h
+++ b/src/core/rollouts/versioncounts.h
@@ -8,29 +8,29 @@
 namespace Galenahill {
 
 // How a target finished a call.
-enum class TargetEnd {
+enum class TargetResult {
     Answered,
     // The target responded with an error.
     Failed,
     // The call was cancelled or its deadline passed while the target worked on it.
-    GivenUp,
+    Abandoned,
 };
 
 // One bucket of a latency histogram. The upper bound of each bucket is 1.4 times its lower bound;
 // the last bucket counts the abandoned calls.
-struct TimeRange
+struct LatencyBucket
 {
-    static constexpr std::uint8_t GivenUp = 40;
-    static constexpr std::uint8_t Count = GivenUp + 1;
+    static constexpr std::uint8_t Abandoned = 40;
+    static constexpr std::uint8_t Count = Abandoned + 1;
     // Number of buckets per doubling of the latency.
-    static constexpr std::uint8_t PerDouble = 2;
+    static constexpr std::uint8_t BucketsPerDoubling = 2;
 
-    std::uint8_t range = 0;
+    std::uint8_t index = 0;
     std::uint32_t calls = 0;
 
-    static std::uint8_t of(Milliseconds time);
+    static std::uint8_t indexOf(Milliseconds time);
 
-    friend bool operator==(const TimeRange &, const TimeRange &) = default;
+    friend bool operator==(const LatencyBucket &, const LatencyBucket &) = default;
 };
 
 // Results of the calls of one route at one target since a rollout spec was created. Counts only
@@ -42,9 +42,9 @@
     std::uint32_t failures = 0;
     // Histogram of the calls' latency at the target, without the calls of a target that has just
     // started.
-    std::vector<TimeRange> times;
+    std::vector<LatencyBucket> latencies;
 
-    void add(TargetEnd result, Milliseconds time, bool timed);
+    void add(TargetResult result, Milliseconds time, bool timed);
 
     friend bool operator==(const RouteCounts &, const RouteCounts &) = default;
 };
@@ -58,9 +58,9 @@
     ServiceName service;
     TargetVersion version;
     // Version at which the spec that the counts belong to was created.
-    ObjectVersion order;
+    ObjectVersion specCreated;
     // Sequence number of the report within the process.
-    std::uint32_t report = 0;
+    std::uint32_t sequence = 0;
     // No call runs at the target, and none will until the retirement lease ends: see
     // RetirementLease.
     bool retired = false;
@@ -70,8 +70,8 @@
 // Time after a report of retirement for which the node sends no calls to its target whatever it
 // receives meanwhile, and the shorter time for which an evaluator relies on the report. The
 // difference is for the write that ends the rollout.
-inline constexpr Milliseconds RetirementPromise{800};
-inline constexpr Milliseconds RetirementBelief{400};
+inline constexpr Milliseconds RetirementLease{800};
+inline constexpr Milliseconds RetirementValidity{400};
 
 // Report of one node to another about rollouts.
 struct RolloutReport
@@ -81,21 +81,21 @@
 };
 
 template <typename Inspector>
-auto inspect(Inspector &inspector, TimeRange &times)
+auto inspect(Inspector &inspector, LatencyBucket &times)
 {
-    return inspector(times.range, times.calls);
+    return inspector(times.index, times.calls);
 }
 
 template <typename Inspector>
 auto inspect(Inspector &inspector, RouteCounts &counts)
 {
-    return inspector(counts.route, counts.calls, counts.failures, counts.times);
+    return inspector(counts.route, counts.calls, counts.failures, counts.latencies);
 }
 
 template <typename Inspector>
 auto inspect(Inspector &inspector, TargetCounts &counts)
 {
-    return inspector(counts.node, counts.process, counts.service, counts.version, counts.order, counts.report, counts.retired, counts.routes);
+    return inspector(counts.node, counts.process, counts.service, counts.version, counts.specCreated, counts.sequence, counts.retired, counts.routes);
 }
 
 template <typename Inspector>
