--- a/src/core/rollouts/versionguard.cpp
+++ b/src/core/rollouts/versionguard.cpp
@@ -16,7 +16,7 @@
     return true;
 }
 
-bool VersionGuard::isShut() const
+bool VersionGuard::rejectsAll() const
 {
     if (!m_rule) {
         return false;
@@ -24,17 +24,17 @@
     return m_rule->mode == (m_rule->version == m_version ? VersionRule::Mode::Excluded : VersionRule::Mode::Only);
 }
 
-bool VersionGuard::isOnTrial() const
+bool VersionGuard::isCanary() const
 {
-    return m_rule && m_rule->mode == VersionRule::Mode::Trial && m_rule->version == m_version;
+    return m_rule && m_rule->mode == VersionRule::Mode::Canary && m_rule->version == m_version;
 }
 
-std::string VersionGuard::refusal(std::string_view intendedVersion) const
+std::string VersionGuard::rejectionReason(std::string_view intendedVersion) const
 {
-    if (isShut()) {
+    if (rejectsAll()) {
         return "the rollout sends no calls to this target's version";
     }
-    if (isOnTrial() && intendedVersion != m_version.value()) {
+    if (isCanary() && intendedVersion != m_version.value()) {
         return "this target's version only accepts calls that the rollout assigned to it";
     }
     return {};
--- a/src/core/rollouts/versionguard.h
+++ b/src/core/rollouts/versionguard.h
@@ -21,12 +21,12 @@
 
     // Whether the target gets no calls at all, and whether it gets only those assigned to its
     // version.
-    bool isShut() const;
-    bool isOnTrial() const;
+    bool rejectsAll() const;
+    bool isCanary() const;
 
     // The reason for rejecting a call that is intended for that version; empty: the call is
     // accepted. An empty version means that the call is intended for no particular one.
-    std::string refusal(std::string_view intendedVersion) const;
+    std::string rejectionReason(std::string_view intendedVersion) const;
 
 private:
     TargetVersion m_version;
--- a/src/core/rollouts/versionrule.h
+++ b/src/core/rollouts/versionrule.h
@@ -12,7 +12,7 @@
 {
     enum class Mode {
         // The version gets its share of the calls, the others get the rest.
-        Trial,
+        Canary,
         // The version gets no calls.
         Excluded,
         // The version gets all calls.
@@ -20,7 +20,7 @@
     };
 
     TargetVersion version;
-    Mode mode = Mode::Trial;
+    Mode mode = Mode::Canary;
     double share = 0;
     // In canary mode, the targets of the version that get its calls; empty: all.
     std::vector<NodeName> targets;
--- a/src/core/rollouts/versiontest.cpp
+++ b/src/core/rollouts/versiontest.cpp
@@ -19,7 +19,7 @@
 
 // Number of buckets above the median from which on a call is slow: four times as long. Targets are
 // up to twice as slow as others of their service.
-constexpr std::size_t SlowBuckets = 2 * TimeRange::PerDouble;
+constexpr std::size_t SlowBuckets = 2 * LatencyBucket::BucketsPerDoubling;
 
 }
 
@@ -30,7 +30,7 @@
 
 double VersionTest::Counts::timedCalls() const
 {
-    return std::accumulate(times.begin(), times.end(), 0.0);
+    return std::accumulate(latencies.begin(), latencies.end(), 0.0);
 }
 
 // Rule of succession: a few calls without a failure don't prove a failure rate of zero.
@@ -47,45 +47,45 @@
     }
     double below = 0;
     std::size_t median = 0;
-    while (median < times.size() && below + times[median] < all / 2) {
-        below += times[median];
+    while (median < latencies.size() && below + latencies[median] < all / 2) {
+        below += latencies[median];
         ++median;
     }
-    return std::min<std::size_t>(median + SlowBuckets, TimeRange::GivenUp);
+    return std::min<std::size_t>(median + SlowBuckets, LatencyBucket::Abandoned);
 }
 
 double VersionTest::Counts::slowShare(std::size_t from) const
 {
     const auto all = timedCalls();
-    const auto slow = std::accumulate(times.begin() + static_cast<std::ptrdiff_t>(from), times.end(), 0.0);
+    const auto slow = std::accumulate(latencies.begin() + static_cast<std::ptrdiff_t>(from), latencies.end(), 0.0);
     return all < MinCalls ? 0 : (slow + 1) / (all + 2);
 }
 
 void VersionTest::decayReferences(TimePoint now)
 {
     const auto passed = m_lastObserved == TimePoint() ? Clock::duration(0) : now - m_lastObserved;
-    const double kept = std::exp(-std::chrono::duration<double>(passed) / std::chrono::duration<double>(m_options.memory));
+    const double kept = std::exp(-std::chrono::duration<double>(passed) / std::chrono::duration<double>(m_options.decayTime));
     m_lastObserved = now;
     for (auto &[route, reference] : m_references) {
         auto &[recent, decayed] = reference;
         decayed.calls = (decayed.calls + recent.calls) * kept;
         decayed.failures = (decayed.failures + recent.failures) * kept;
-        for (std::size_t i = 0; i < decayed.times.size(); ++i) {
-            decayed.times[i] = (decayed.times[i] + recent.times[i]) * kept;
+        for (std::size_t i = 0; i < decayed.latencies.size(); ++i) {
+            decayed.latencies[i] = (decayed.latencies[i] + recent.latencies[i]) * kept;
         }
         recent = {};
     }
 }
 
-VersionTest::Counts VersionTest::takeNewCounts(const EvidenceTable::Source &source, const RouteCounts &counts)
+VersionTest::Counts VersionTest::takeNewCounts(const TargetCountTable::Source &source, const RouteCounts &counts)
 {
     Counts all{.calls = static_cast<double>(counts.calls), .failures = static_cast<double>(counts.failures)};
-    for (const auto &times : counts.times) {
-        all.times[times.range] = times.calls;
+    for (const auto &times : counts.latencies) {
+        all.latencies[times.index] = times.calls;
     }
     auto &last = m_lastCounts[source][counts.route];
     Counts recent{.calls = all.calls - last.calls, .failures = all.failures - last.failures};
-    std::transform(all.times.begin(), all.times.end(), last.times.begin(), recent.times.begin(), std::minus<>());
+    std::transform(all.latencies.begin(), all.latencies.end(), last.latencies.begin(), recent.latencies.begin(), std::minus<>());
     last = all;
     return recent;
 }
@@ -93,8 +93,8 @@
 // Logarithm of the likelihood ratio for that many bad calls out of all.
 double VersionTest::logLikelihoodRatio(double bad, double all, double referenceShare) const
 {
-    const double expected = std::min(referenceShare + m_options.tolerated, MaxAssumedShare);
-    const double worse = std::min(expected + m_options.wantedDifference, (1 + MaxAssumedShare) / 2);
+    const double expected = std::min(referenceShare + m_options.toleratedExcess, MaxAssumedShare);
+    const double worse = std::min(expected + m_options.detectableExcess, (1 + MaxAssumedShare) / 2);
     return bad * std::log(worse / expected) + (all - bad) * std::log((1 - worse) / (1 - expected));
 }
 
@@ -107,7 +107,7 @@
     // While all targets are slow, the higher of both thresholds applies.
     const auto from = std::max(recent.slowThreshold(), decayed.slowThreshold());
     if (from) {
-        const auto slow = std::accumulate(counts.times.begin() + static_cast<std::ptrdiff_t>(*from), counts.times.end(), 0.0);
+        const auto slow = std::accumulate(counts.latencies.begin() + static_cast<std::ptrdiff_t>(*from), counts.latencies.end(), 0.0);
         scores.slowness = logLikelihoodRatio(slow, counts.timedCalls(), std::max(recent.slowShare(*from), decayed.slowShare(*from)));
     }
     return scores;
@@ -135,7 +135,7 @@
     m_scores.*score = std::max(0.0, m_scores.*score + total);
 }
 
-void VersionTest::observe(const EvidenceTable &targetCounts, TimePoint now)
+void VersionTest::observe(const TargetCountTable &targetCounts, TimePoint now)
 {
     decayReferences(now);
     struct NewCounts
@@ -155,7 +155,7 @@
             auto &reference = m_references[route.route].recent;
             reference.calls += recent.calls;
             reference.failures += recent.failures;
-            std::transform(reference.times.begin(), reference.times.end(), recent.times.begin(), reference.times.begin(), std::plus<>());
+            std::transform(reference.latencies.begin(), reference.latencies.end(), recent.latencies.begin(), reference.latencies.begin(), std::plus<>());
         }
     }
     std::map<NodeName, Scores> latest;
@@ -180,7 +180,7 @@
     return m_scores.slowness;
 }
 
-bool VersionTest::convicts() const
+bool VersionTest::detectsRegression() const
 {
     return std::max(failureScore(), slownessScore()) >= m_options.threshold;
 }
--- a/src/core/rollouts/versiontest.h
+++ b/src/core/rollouts/versiontest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/rollouts/evidencetable.h"
+#include "core/rollouts/targetcounttable.h"
 
 #include <array>
 #include <map>
@@ -29,23 +29,23 @@
         double threshold = 11;
         // Excess of the failure rate, or of the share of slow calls, over that of the other
         // versions that is tolerated, and the further excess that the test is designed to detect.
-        double tolerated = 0.02;
-        double wantedDifference = 0.15;
+        double toleratedExcess = 0.02;
+        double detectableExcess = 0.15;
         // Time constant with which the counts of the other versions decay.
-        Milliseconds memory{3000};
+        Milliseconds decayTime{3000};
     };
 
     explicit VersionTest(Options options);
 
     // Evaluates the current counts. Call it about every second; calls between two evaluations are
     // compared with each other.
-    void observe(const EvidenceTable &targetCounts, TimePoint now);
+    void observe(const TargetCountTable &targetCounts, TimePoint now);
 
     // Scores for a higher failure rate and for higher latency; the version is rejected when either
     // reaches the threshold.
     double failureScore() const;
     double slownessScore() const;
-    bool convicts() const;
+    bool detectsRegression() const;
 
     // Number of calls to the new version that were counted, and of its failures.
     std::uint64_t calls() const;
@@ -60,7 +60,7 @@
     {
         double calls = 0;
         double failures = 0;
-        std::array<double, TimeRange::Count> times{};
+        std::array<double, LatencyBucket::Count> latencies{};
 
         double timedCalls() const;
         double failureRate() const;
@@ -87,14 +87,14 @@
     };
 
     void decayReferences(TimePoint now);
-    Counts takeNewCounts(const EvidenceTable::Source &source, const RouteCounts &counts);
+    Counts takeNewCounts(const TargetCountTable::Source &source, const RouteCounts &counts);
     double logLikelihoodRatio(double bad, double all, double referenceShare) const;
     Scores scoresOf(const RouteName &route, const Counts &counts) const;
     void addScores(const std::map<NodeName, Scores> &latest, double Scores::*score);
 
     Options m_options;
     TimePoint m_lastObserved;
-    std::map<EvidenceTable::Source, std::unordered_map<RouteName, Counts>> m_lastCounts;
+    std::map<TargetCountTable::Source, std::unordered_map<RouteName, Counts>> m_lastCounts;
     std::unordered_map<RouteName, Reference> m_references;
     std::map<NodeName, Scores> m_targetScores;
     Scores m_scores;
--- a/src/daemon/attemptconnection.cpp
+++ b/src/daemon/attemptconnection.cpp
@@ -35,13 +35,13 @@
 
 asio::awaitable<void> AttemptConnection::sendStreamed(HttpResponse response, BodySource &rest)
 {
-    m_answering = true;
+    m_responseStarted = true;
     co_await m_caller.sendStreamed(std::move(response), rest);
 }
 
-bool AttemptConnection::answering() const
+bool AttemptConnection::responseStarted() const
 {
-    return m_answering;
+    return m_responseStarted;
 }
 
 }
--- a/src/daemon/attemptconnection.h
+++ b/src/daemon/attemptconnection.h
@@ -23,12 +23,12 @@
 
     // Whether a streamed response to the caller has started, so that another attempt is no longer
     // possible.
-    bool answering() const;
+    bool responseStarted() const;
 
 private:
     ServerConnection &m_caller;
     Cancellation m_cancellation;
-    bool m_answering = false;
+    bool m_responseStarted = false;
 };
 
 }
--- a/src/daemon/bodyline.cpp
+++ b/src/daemon/bodyqueue.cpp
@@ -1,11 +1,11 @@
-#include "daemon/bodyline.h"
+#include "daemon/bodyqueue.h"
 
 #include <algorithm>
 
 namespace Galenahill {
 
 // A body that waits for the link.
-struct BodyLine::Waiter
+struct BodyQueue::Waiter
 {
     Waiter(asio::io_context &context, std::uint64_t size)
         : timer(context, TimePoint::max())
@@ -18,31 +18,31 @@
     bool admitted = false;
 };
 
-BodyLine::BodyLine(asio::io_context &context, LinkSchedule::Options options)
+BodyQueue::BodyQueue(asio::io_context &context, LinkSchedule::Options options)
     : m_context(context)
     , m_schedule(options)
 {
 }
 
-bool BodyLine::free() const
+bool BodyQueue::canBegin() const
 {
-    return m_waiting.empty() && m_schedule.free();
+    return m_waiting.empty() && m_schedule.canBegin();
 }
 
-TimePoint BodyLine::arrival(std::uint64_t bytes) const
+TimePoint BodyQueue::expectedArrival(std::uint64_t bytes) const
 {
-    return m_schedule.arrival(bytes, Clock::now());
+    return m_schedule.expectedArrival(bytes, Clock::now());
 }
 
-asio::awaitable<bool> BodyLine::enter(std::uint64_t bytes, ServerConnection &connection)
+asio::awaitable<bool> BodyQueue::waitForTransfer(std::uint64_t bytes, ServerConnection &connection)
 {
-    if (free()) {
-        m_schedule.begin(bytes, Clock::now());
+    if (canBegin()) {
+        m_schedule.beginTransfer(bytes, Clock::now());
         co_return true;
     }
     const auto waiter = std::make_shared<Waiter>(m_context, bytes);
     m_waiting.push_back(waiter);
-    m_schedule.wait(bytes);
+    m_schedule.addWaiting(bytes);
     connection.cancellation().setHook([weak = weak_from_this(), waiter] {
         if (const auto self = weak.lock()) {
             self->remove(waiter);
@@ -54,35 +54,35 @@
     co_return waiter->admitted;
 }
 
-void BodyLine::leave()
+void BodyQueue::endTransfer()
 {
-    m_schedule.end(Clock::now());
+    m_schedule.endTransfer(Clock::now());
     admitNext();
 }
 
-void BodyLine::admitNext()
+void BodyQueue::admitNext()
 {
-    while (!m_waiting.empty() && m_schedule.free()) {
+    while (!m_waiting.empty() && m_schedule.canBegin()) {
         const auto next = m_waiting.front();
         remove(next);
         next->admitted = true;
-        m_schedule.begin(next->bytes, Clock::now());
+        m_schedule.beginTransfer(next->bytes, Clock::now());
     }
 }
 
 // Removes the body from the queue and resumes its waiter, which counts as rejected unless `admitted`
 // is set.
-void BodyLine::remove(const std::shared_ptr<Waiter> &waiter)
+void BodyQueue::remove(const std::shared_ptr<Waiter> &waiter)
 {
     const auto found = std::find(m_waiting.begin(), m_waiting.end(), waiter);
     if (found != m_waiting.end()) {
         m_waiting.erase(found);
-        m_schedule.waitEnded(waiter->bytes);
+        m_schedule.removeWaiting(waiter->bytes);
         waiter->timer.cancel();
     }
 }
 
-void BodyLine::refuseWaiting()
+void BodyQueue::rejectWaiting()
 {
     while (!m_waiting.empty()) {
         remove(m_waiting.front());
--- a/src/daemon/bodyline.h
+++ b/src/daemon/bodyqueue.h
@@ -10,24 +10,24 @@
 
 // Queue of the request bodies that other nodes offer to send over this VM's inbound link, in order of
 // arrival. Used on the data thread only.
-class BodyLine : public std::enable_shared_from_this<BodyLine>
+class BodyQueue : public std::enable_shared_from_this<BodyQueue>
 {
 public:
-    BodyLine(asio::io_context &context, LinkSchedule::Options options);
+    BodyQueue(asio::io_context &context, LinkSchedule::Options options);
 
     // Whether a body could start at once, and the expected time at which a body of that size, offered
     // now, would be complete.
-    bool free() const;
-    TimePoint arrival(std::uint64_t bytes) const;
+    bool canBegin() const;
+    TimePoint expectedArrival(std::uint64_t bytes) const;
 
     // Waits until the body may start. Returns false if it was rejected or its caller disconnected.
-    asio::awaitable<bool> enter(std::uint64_t bytes, ServerConnection &connection);
+    asio::awaitable<bool> waitForTransfer(std::uint64_t bytes, ServerConnection &connection);
 
     // Records that a body has arrived or was cut off.
-    void leave();
+    void endTransfer();
 
     // Rejects the bodies that wait.
-    void refuseWaiting();
+    void rejectWaiting();
 
 private:
     struct Waiter;
--- a/src/daemon/bodyintake.cpp
+++ b/src/daemon/bodyreceiver.cpp
@@ -1,4 +1,4 @@
-#include "daemon/bodyintake.h"
+#include "daemon/bodyreceiver.h"
 
 #include <algorithm>
 
@@ -15,13 +15,13 @@
 
 }
 
-BodyIntake::BodyIntake(asio::io_context &context, LinkSchedule::Options link, SlotLine &slots)
+BodyReceiver::BodyReceiver(asio::io_context &context, LinkSchedule::Options link, SlotQueue &slots)
     : m_slots(slots)
-    , m_queue(std::make_shared<BodyLine>(context, link))
+    , m_queue(std::make_shared<BodyQueue>(context, link))
 {
 }
 
-bool BodyIntake::takes(const BodySource *body)
+bool BodyReceiver::buffers(const BodySource *body)
 {
     return body != nullptr && body->length() && *body->length() > 0 && *body->length() <= MaxBufferedBody;
 }
@@ -29,41 +29,41 @@
 // A call that may not wait is rejected, to be offered elsewhere first, unless its body can start at
 // once. A call that may wait is accepted by an idle target even if its response is expected late: if
 // it were rejected, slots would stay empty and no response would ever correct the estimate.
-bool BodyIntake::mayReceive(const SlotCall &call, std::uint64_t length, TimePoint arrival) const
+bool BodyReceiver::mayReceive(const SlotCall &call, std::uint64_t length, TimePoint arrival) const
 {
     if (m_bufferedBytes + length > MaxBufferedBodies) {
         return false;
     }
-    const bool idle = m_queue->free() && m_slots.running() < m_slots.limit();
-    const bool inTime = m_slots.canStartAt(call, arrival);
+    const bool idle = m_queue->canBegin() && m_slots.running() < m_slots.limit();
+    const bool inTime = m_slots.canMeetObjective(call, arrival);
     return call.terms.mayWait ? idle || inTime : idle && inTime;
 }
 
-asio::awaitable<BodyIntake::Outcome> BodyIntake::take(HttpRequest &request, SlotCall &call, ServerConnection &connection)
+asio::awaitable<BodyReceiver::ReceiveResult> BodyReceiver::receive(HttpRequest &request, SlotCall &call, ServerConnection &connection)
 {
     auto &body = *connection.requestBody();
     const auto length = *body.length();
-    Outcome outcome{.arrival = m_queue->arrival(length)};
+    ReceiveResult outcome{.arrival = m_queue->expectedArrival(length)};
     if (!mayReceive(call, length, outcome.arrival)) {
         co_return outcome;
     }
-    const bool entered = co_await m_queue->enter(length, connection);
+    const bool entered = co_await m_queue->waitForTransfer(length, connection);
     if (!entered) {
-        outcome.arrival = m_queue->arrival(length);
+        outcome.arrival = m_queue->expectedArrival(length);
         co_return outcome;
     }
     m_bufferedBytes += length;
-    call.heldBytes = length;
+    call.bufferedBytes = length;
     outcome.error = co_await read(request, body);
-    m_queue->leave();
-    outcome.end = outcome.error ? End::CutOff : End::Here;
+    m_queue->endTransfer();
+    outcome.status = outcome.error ? Status::Interrupted : Status::Complete;
     // Another sidecar would have to receive the body again, so the call waits here.
     call.terms.mayWait = true;
     call.terms.waitLeft.reset();
     co_return outcome;
 }
 
-asio::awaitable<ErrorCode> BodyIntake::read(HttpRequest &request, BodySource &body)
+asio::awaitable<ErrorCode> BodyReceiver::read(HttpRequest &request, BodySource &body)
 {
     request.body().reserve(*body.length());
     ErrorCode error;
@@ -73,14 +73,14 @@
     co_return error;
 }
 
-void BodyIntake::release(std::uint64_t bytes)
+void BodyReceiver::release(std::uint64_t bytes)
 {
     m_bufferedBytes -= bytes;
 }
 
-void BodyIntake::refuseWaiting()
+void BodyReceiver::rejectWaiting()
 {
-    m_queue->refuseWaiting();
+    m_queue->rejectWaiting();
 }
 
 }
--- a/src/daemon/callmessages.cpp
+++ b/src/daemon/callmessages.cpp
@@ -49,10 +49,10 @@
 
 }
 
-void stripFields(http::fields &fields, const CallDialect &headerNames)
+void stripFields(http::fields &fields, const CallHeaderNames &headerNames)
 {
     const auto endToEnd = [&headerNames](boost::beast::string_view name) {
-        for (const auto &kept : {headerNames.requestId, headerNames.answerProof, headerNames.targetId}) {
+        for (const auto &kept : {headerNames.requestId, headerNames.originMarker, headerNames.targetId}) {
             if (!kept.empty() && boost::algorithm::iequals(name, kept)) {
                 return true;
             }
@@ -119,11 +119,11 @@
         terms.objectiveLeft = Milliseconds(*left);
     }
     terms.mayWait = parts[2] != NoWait;
-    terms.forRunningCall = parts[3] == NestedCall;
+    terms.hasRunningParent = parts[3] == NestedCall;
     if (const auto left = parseNumber<std::int64_t>(parts[4])) {
         terms.waitLeft = Milliseconds(*left);
     }
-    terms.repeat = parts[5] == Repeat;
+    terms.isRetry = parts[5] == Repeat;
     return terms;
 }
 
@@ -134,9 +134,9 @@
         terms.priority,
         text(terms.objectiveLeft),
         terms.mayWait ? "wait" : NoWait,
-        terms.forRunningCall ? NestedCall : "",
+        terms.hasRunningParent ? NestedCall : "",
         text(terms.waitLeft),
-        terms.repeat ? Repeat : "");
+        terms.isRetry ? Repeat : "");
 }
 
 std::optional<Milliseconds> waitHeader(const HttpResponse &response)
@@ -146,7 +146,7 @@
     return wait ? std::optional(Milliseconds(*wait)) : std::nullopt;
 }
 
-std::vector<ServiceName> callsHeader(const HttpResponse &response)
+std::vector<ServiceName> calledServicesHeader(const HttpResponse &response)
 {
     std::vector<ServiceName> services;
     for (const auto name : http::token_list(response[CallHeaders::Calls])) {
@@ -155,7 +155,7 @@
     return services;
 }
 
-std::string formatCalls(const std::vector<ServiceName> &services)
+std::string formatCalledServices(const std::vector<ServiceName> &services)
 {
     std::vector<std::string> names;
     std::transform(services.begin(), services.end(), std::back_inserter(names), [](const auto &service) { return service.value(); });
@@ -180,17 +180,17 @@
     return fmt::format("{}/{}", load.calls, load.limit);
 }
 
-bool saysNotRunByTarget(const HttpResponse &response)
+bool isNotRunByTarget(const HttpResponse &response)
 {
     return response[CallHeaders::Outcome] == CallHeaders::NotRunByTarget;
 }
 
-bool saysNotRun(const HttpResponse &response)
+bool isNotRun(const HttpResponse &response)
 {
-    return response[CallHeaders::Outcome] == CallHeaders::NotRun || saysNotRunByTarget(response);
+    return response[CallHeaders::Outcome] == CallHeaders::NotRun || isNotRunByTarget(response);
 }
 
-bool saysOutcomeUnknown(const HttpResponse &response)
+bool isOutcomeUnknown(const HttpResponse &response)
 {
     return response[CallHeaders::Outcome] == CallHeaders::OutcomeUnknown;
 }
--- a/src/daemon/callmessages.h
+++ b/src/daemon/callmessages.h
@@ -2,7 +2,7 @@
 
 #include "adapters/http/httpmessage.h"
 #include "common/identifiers.h"
-#include "core/calls/calldialect.h"
+#include "core/calls/callheadernames.h"
 #include "core/calls/targetload.h"
 
 #include <optional>
@@ -26,16 +26,16 @@
     std::optional<Milliseconds> waitLeft;
     // Whether this is a nested call of a call that a target is running. Rejecting it would waste the
     // work done for its parent call.
-    bool forRunningCall = false;
+    bool hasRunningParent = false;
     // Whether the call or one of the calls that it is nested in is a retry of a call that may have run.
-    bool repeat = false;
+    bool isRetry = false;
 
     friend bool operator==(const CallTerms &, const CallTerms &) = default;
 };
 
 // Removes the hop-by-hop header fields and those that only nodes may set, so that neither a caller
 // nor a target can forge them. Keeps the platform's end-to-end fields.
-void stripFields(http::fields &fields, const CallDialect &headerNames = {});
+void stripFields(http::fields &fields, const CallHeaderNames &headerNames = {});
 
 // Response for a call that certainly did not run, with the time after which to retry it.
 HttpResponse notRunResponse(http::status status, const std::string &kind, const std::string &message, Milliseconds retryAfter = Milliseconds(1000));
@@ -57,8 +57,8 @@
 
 // Parses and formats the services that calls of the route make nested calls to, as a sidecar's
 // response reports them.
-std::vector<ServiceName> callsHeader(const HttpResponse &response);
-std::string formatCalls(const std::vector<ServiceName> &services);
+std::vector<ServiceName> calledServicesHeader(const HttpResponse &response);
+std::string formatCalledServices(const std::vector<ServiceName> &services);
 
 // Parses and formats the load in a sidecar's response; empty if it is missing or malformed.
 std::optional<TargetLoad> loadHeader(const HttpResponse &response);
@@ -66,8 +66,8 @@
 
 // Whether the response states that the target got the call and did not run it, that the call did not
 // run for this or any other reason, or that it may have run.
-bool saysNotRunByTarget(const HttpResponse &response);
-bool saysNotRun(const HttpResponse &response);
-bool saysOutcomeUnknown(const HttpResponse &response);
+bool isNotRunByTarget(const HttpResponse &response);
+bool isNotRun(const HttpResponse &response);
+bool isOutcomeUnknown(const HttpResponse &response);
 
 }
--- a/src/daemon/callrouter.cpp
+++ b/src/daemon/callrouter.cpp
@@ -27,27 +27,27 @@
 CallRouter::CallRouter(Options options)
     : m_options(std::move(options))
     , m_picker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy})
-    , m_largePicker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy, .crossing = LargeBodyCrossing})
+    , m_largePicker({.dataCentre = m_options.dataCentre, .seed = m_options.seed, .policy = m_options.policy, .remotePenalty = LargeBodyCrossing})
 {
 }
 
 void CallRouter::setRetryBudget(RetryBudget::Options options)
 {
-    m_options.retries = options;
+    m_options.retryBudget = options;
     for (auto &[service, budget] : m_retries) {
         budget.setOptions(options);
     }
 }
 
-void CallRouter::stop()
+void CallRouter::prepareToStop()
 {
     m_stopping = true;
 }
 
-void CallRouter::callMade(const IngressCall &call)
+void CallRouter::callStarted(const IngressCall &call)
 {
     auto &budget = budgetOf(call.service);
-    call.ofRepeat ? budget.spend() : budget.callMade();
+    call.parentIsRetry ? budget.chargeRetry() : budget.recordCall();
 }
 
 // A retried call makes its nested calls again, and these count as retries at the services that they
@@ -55,26 +55,26 @@
 // are tried there for the first time.
 bool CallRouter::nestedCallsHaveBudget(const IngressCall &call)
 {
-    if (!m_options.calledBy) {
+    if (!m_options.calledServices) {
         return true;
     }
-    const auto &services = m_options.calledBy(call.route->name);
-    return std::all_of(services.begin(), services.end(), [this](const ServiceName &service) { return budgetOf(service).hasOne(); });
+    const auto &services = m_options.calledServices(call.route->name);
+    return std::all_of(services.begin(), services.end(), [this](const ServiceName &service) { return budgetOf(service).hasToken(); });
 }
 
 TargetPicker &CallRouter::pickerFor(const IngressCall &call)
 {
-    return call.large ? m_largePicker : m_picker;
+    return call.hasLargeBody ? m_largePicker : m_picker;
 }
 
-void CallRouter::begin(const IngressCall &call, const NodeName &target)
+void CallRouter::addInFlight(const IngressCall &call, const NodeName &target)
 {
-    pickerFor(call).begin(target, Clock::now());
+    pickerFor(call).addInFlight(target, Clock::now());
 }
 
-void CallRouter::end(const IngressCall &call, const NodeName &target)
+void CallRouter::removeInFlight(const IngressCall &call, const NodeName &target)
 {
-    pickerFor(call).end(target);
+    pickerFor(call).removeInFlight(target);
 }
 
 void CallRouter::updateExpectedWait(const IngressCall &call, const NodeName &target, Milliseconds wait)
@@ -82,37 +82,37 @@
     pickerFor(call).updateExpectedWait(target, wait, Clock::now());
 }
 
-void CallRouter::loadObserved(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed)
+void CallRouter::updateTargetLoad(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed)
 {
-    m_picker.loadObserved(target, load, wait, observed);
+    m_picker.updateTargetLoad(target, load, wait, observed);
 }
 
-void CallRouter::poolObserved(const PoolReport &pool, TimePoint observed)
+void CallRouter::updatePoolLoad(const PoolReport &pool, TimePoint observed)
 {
-    m_picker.poolObserved(pool.dataCentre, pool.service, {pool.calls, pool.limit}, Milliseconds(pool.waitMs), observed);
+    m_picker.updatePoolLoad(pool.dataCentre, pool.service, {pool.calls, pool.limit}, Milliseconds(pool.waitMs), observed);
 }
 
 RetryBudget &CallRouter::budgetOf(const ServiceName &service)
 {
-    return m_retries.try_emplace(service, m_options.retries).first->second;
+    return m_retries.try_emplace(service, m_options.retryBudget).first->second;
 }
 
 // Only one node in a call tree retries calls that may have run: with seven layers that each try
 // three times, one failure would become two thousand calls. A call that certainly did not run is
 // retried by the layer whose call was rejected.
-bool CallRouter::mayRepeat(const IngressCall &call) const
+bool CallRouter::isRetryable(const IngressCall &call) const
 {
-    return call.route->idempotent() && !call.retriedAbove && call.uncertain < std::min(call.route->retries, ConfigLimits::MaxRetries);
+    return call.route->idempotent() && !call.retriedAbove && call.unknownOutcomes < std::min(call.route->retries, ConfigLimits::MaxRetries);
 }
 
 // A rejection by a sidecar costs the targets nothing, so only attempts that reached a target draw on
 // the budget.
-bool CallRouter::mayRetry(IngressCall &call, AttemptEnd outcome)
+bool CallRouter::mayRetry(IngressCall &call, AttemptResult outcome)
 {
     // Either nobody waits for the response, or a part of the streamed body has been consumed and
     // cannot be sent again.
     const auto *body = call.connection.requestBody();
-    if (call.connection.cancellation().cancelled() || (body != nullptr && body->taken())) {
+    if (call.connection.cancellation().cancelled() || (body != nullptr && body->readStarted())) {
         return false;
     }
     if (Clock::now() >= call.deadline) {
@@ -121,32 +121,32 @@
     if (!isSent(outcome)) {
         return true;
     }
-    if (call.sent >= call.route->maxTargets) {
+    if (call.attemptsSent >= call.route->maxTargets) {
         return false;
     }
     if (mayHaveRun(outcome)) {
         // The only place where a call could run twice: a call that may have run is retried only if
         // its route is idempotent.
-        if (!mayRepeat(call) || !nestedCallsHaveBudget(call)) {
+        if (!isRetryable(call) || !nestedCallsHaveBudget(call)) {
             return false;
         }
-        ++call.uncertain;
-        call.notToRepeatAt.push_back(call.lastTarget);
+        ++call.unknownOutcomes;
+        call.excludedFromRetry.push_back(call.lastTarget);
     }
-    if (m_options.policy.retryBudget && !budgetOf(call.service).tryTake()) {
+    if (m_options.policy.retryBudget && !budgetOf(call.service).tryTakeToken()) {
         return false;
     }
-    call.holdsRepeat = m_options.policy.retryBudget;
+    call.retryReserved = m_options.policy.retryBudget;
     return true;
 }
 
-void CallRouter::attemptEnded(IngressCall &call, AttemptEnd outcome)
+void CallRouter::attemptEnded(IngressCall &call, AttemptResult outcome)
 {
     if (isSent(outcome)) {
-        ++call.sent;
-        call.holdsRepeat = false;
+        ++call.attemptsSent;
+        call.retryReserved = false;
         // Further attempts do not go to the canary version.
-        call.trial = nullptr;
+        call.canary = nullptr;
     }
 }
 
@@ -154,39 +154,39 @@
 // another call.
 void CallRouter::callEnded(IngressCall &call)
 {
-    if (std::exchange(call.holdsRepeat, false)) {
-        budgetOf(call.service).giveBack();
+    if (std::exchange(call.retryReserved, false)) {
+        budgetOf(call.service).returnToken();
     }
 }
 
-Choice CallRouter::choose(IngressCall &call)
+Offer CallRouter::choose(IngressCall &call)
 {
-    if (call.uncertain > 0) {
+    if (call.unknownOutcomes > 0) {
         return chooseForRetry(call);
     }
-    if (call.trial != nullptr) {
+    if (call.canary != nullptr) {
         if (const auto choice = chooseCanary(call); choice.target != nullptr) {
             return choice;
         }
-        call.trial = nullptr;
+        call.canary = nullptr;
         call.offers = {};
     }
     return nextOffer(pickerFor(call),
         call.view->targetsOf(call.service),
         call.offers,
-        {.dataCentre = m_options.dataCentre, .first = localTarget(call), .crossesUnasked = !call.large},
+        {.dataCentre = m_options.dataCentre, .preferredTarget = localTarget(call), .offerRemoteBeforeQueueing = !call.hasLargeBody},
         Clock::now());
 }
 
 // Calls do not wait for a slot of the canary version: without a free slot they go to the other
 // targets.
-Choice CallRouter::chooseCanary(IngressCall &call)
+Offer CallRouter::chooseCanary(IngressCall &call)
 {
-    auto &asked = call.offers.asked;
+    auto &asked = call.offers.offeredWithoutWaiting;
     if (asked.size() >= MaxCanaryOffers) {
         return {};
     }
-    const auto *target = pickerFor(call).selectForQueueing(call.trial->targets, asked, Clock::now());
+    const auto *target = pickerFor(call).selectForQueueing(call.canary->targets, asked, Clock::now());
     if (target != nullptr) {
         asked.push_back(target->name);
     }
@@ -199,7 +199,7 @@
 {
     const auto &targets = call.view->targetsOf(call.service);
     const auto local = std::find_if(targets.begin(), targets.end(), [this](const auto &target) { return target.name == m_options.node; });
-    return call.large && local != targets.end() ? &*local : nullptr;
+    return call.hasLargeBody && local != targets.end() ? &*local : nullptr;
 }
 
 // A nested call has no limit: without its response, even a late one, the work of its parent call is
@@ -207,7 +207,7 @@
 std::optional<Milliseconds> CallRouter::waitLeft(const IngressCall &call) const
 {
     const auto objective = call.route->sloLatency;
-    if (call.forRunningCall || objective.count() == 0) {
+    if (call.hasRunningParent || objective.count() == 0) {
         return std::nullopt;
     }
     const auto until = call.begin + std::chrono::duration_cast<Milliseconds>(objective * MaxWaitShare);
@@ -216,55 +216,55 @@
 
 // A retry goes only to a target with a free slot: under overload it would take the slot of a call
 // that has not been tried yet. It does not go back to the target that failed it.
-Choice CallRouter::chooseForRetry(IngressCall &call)
+Offer CallRouter::chooseForRetry(IngressCall &call)
 {
-    if (call.repeatsOffered >= MaxRetryOffers) {
+    if (call.retryOffers >= MaxRetryOffers) {
         return {};
     }
-    const auto *target = pickerFor(call).pick(call.view->targetsOf(call.service), call.notToRepeatAt, Clock::now(), true);
+    const auto *target = pickerFor(call).pick(call.view->targetsOf(call.service), call.excludedFromRetry, Clock::now(), true);
     if (target != nullptr) {
-        ++call.repeatsOffered;
-        call.notToRepeatAt.push_back(target->name);
+        ++call.retryOffers;
+        call.excludedFromRetry.push_back(target->name);
     }
     return {target, false};
 }
 
 // A node that is stopping does not cancel running attempts: if the retry failed, there would be no
 // time left for another one.
-bool CallRouter::canRepeatElsewhere(const IngressCall &call)
+bool CallRouter::canRetryElsewhere(const IngressCall &call)
 {
     const auto *body = call.connection.requestBody();
-    const bool bodyConsumed = body != nullptr && body->taken();
-    if (m_stopping || bodyConsumed || call.sent + 1 >= call.route->maxTargets || call.repeatsOffered >= MaxRetryOffers) {
+    const bool bodyConsumed = body != nullptr && body->readStarted();
+    if (m_stopping || bodyConsumed || call.attemptsSent + 1 >= call.route->maxTargets || call.retryOffers >= MaxRetryOffers) {
         return false;
     }
-    if (!budgetOf(call.service).hasOne() || !nestedCallsHaveBudget(call)) {
+    if (!budgetOf(call.service).hasToken() || !nestedCallsHaveBudget(call)) {
         return false;
     }
-    auto excluded = call.notToRepeatAt;
+    auto excluded = call.excludedFromRetry;
     excluded.push_back(call.lastTarget);
-    return pickerFor(call).roomElsewhere(call.view->targetsOf(call.service), excluded, Clock::now());
+    return pickerFor(call).hasFreeSlotElsewhere(call.view->targetsOf(call.service), excluded, Clock::now());
 }
 
-void CallRouter::learn(const IngressCall &call, const NodeName &target, AttemptEnd outcome, const Result<HttpResponse> &response)
+void CallRouter::recordResult(const IngressCall &call, const NodeName &target, AttemptResult outcome, const Result<HttpResponse> &response)
 {
     const auto now = Clock::now();
     auto &picker = pickerFor(call);
     const auto load = response ? loadHeader(*response) : std::nullopt;
     if (load) {
-        picker.reported(target, *load, now);
+        picker.updateReportedLoad(target, *load, now);
     }
     switch (outcome) {
-    case AttemptEnd::Answered:
-        picker.succeeded(call.service, target);
+    case AttemptResult::Answered:
+        picker.attemptSucceeded(call.service, target);
         break;
-    case AttemptEnd::Failed:
-    case AttemptEnd::NotRunByTarget:
-    case AttemptEnd::Shed:
-    case AttemptEnd::OutcomeUnknown:
-        picker.failed(call.service, target, now);
+    case AttemptResult::Failed:
+    case AttemptResult::NotRunByTarget:
+    case AttemptResult::Overloaded:
+    case AttemptResult::OutcomeUnknown:
+        picker.attemptFailed(call.service, target, now);
         break;
-    case AttemptEnd::NotRun:
+    case AttemptResult::NotRun:
         // A rejection without a load report says nothing of when slots are free, so back off.
         if (!load) {
             picker.backOff(target, now);
--- a/src/daemon/callrouter.h
+++ b/src/daemon/callrouter.h
@@ -24,9 +24,9 @@
         std::uint64_t seed = 1;
         CallPolicy policy;
         // Budget of each service for retries of calls that may have run.
-        RetryBudget::Options retries;
+        RetryBudget::Options retryBudget;
         // Returns the services that calls of the route make nested calls to. May be null.
-        std::function<const std::vector<ServiceName> &(const RouteName &route)> calledBy;
+        std::function<const std::vector<ServiceName> &(const RouteName &route)> calledServices;
     };
 
     explicit CallRouter(Options options);
@@ -35,48 +35,48 @@
     void setRetryBudget(RetryBudget::Options options);
 
     // Prepares for the node's shutdown: running attempts are no longer cancelled in favour of a retry.
-    void stop();
+    void prepareToStop();
 
     // Records the start of a call. It adds to its service's retry budget, or draws on it if its parent
     // call is a retry.
-    void callMade(const IngressCall &call);
+    void callStarted(const IngressCall &call);
 
     // Returns the sidecar to offer the call to next, with a null target if there is none left.
-    Choice choose(IngressCall &call);
+    Offer choose(IngressCall &call);
 
     // Returns how long the call may still wait for a slot. If empty, only its objective and deadline
     // limit the wait.
     std::optional<Milliseconds> waitLeft(const IngressCall &call) const;
 
     // Whether the call may be sent again even if an earlier attempt may have run it.
-    bool mayRepeat(const IngressCall &call) const;
+    bool isRetryable(const IngressCall &call) const;
 
     // Records the outcome of an attempt of the call.
-    void attemptEnded(IngressCall &call, AttemptEnd outcome);
+    void attemptEnded(IngressCall &call, AttemptResult outcome);
 
     // Records that no further attempt follows.
     void callEnded(IngressCall &call);
 
     // Whether the call gets another attempt after one with this outcome. Takes the retry from the
     // budget if it counts as one.
-    bool mayRetry(IngressCall &call, AttemptEnd outcome);
+    bool mayRetry(IngressCall &call, AttemptResult outcome);
 
     // Whether another target has a free slot for a retry of the call now, and a retry is allowed.
-    bool canRepeatElsewhere(const IngressCall &call);
+    bool canRetryElsewhere(const IngressCall &call);
 
     // Record the start and the end of an attempt at the target, and what is learnt of its load.
-    void begin(const IngressCall &call, const NodeName &target);
-    void end(const IngressCall &call, const NodeName &target);
+    void addInFlight(const IngressCall &call, const NodeName &target);
+    void removeInFlight(const IngressCall &call, const NodeName &target);
     void updateExpectedWait(const IngressCall &call, const NodeName &target, Milliseconds wait);
-    void loadObserved(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
-    void poolObserved(const PoolReport &pool, TimePoint observed);
-    void learn(const IngressCall &call, const NodeName &target, AttemptEnd outcome, const Result<HttpResponse> &response);
+    void updateTargetLoad(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
+    void updatePoolLoad(const PoolReport &pool, TimePoint observed);
+    void recordResult(const IngressCall &call, const NodeName &target, AttemptResult outcome, const Result<HttpResponse> &response);
 
 private:
     RetryBudget &budgetOf(const ServiceName &service);
     bool nestedCallsHaveBudget(const IngressCall &call);
-    Choice chooseForRetry(IngressCall &call);
-    Choice chooseCanary(IngressCall &call);
+    Offer chooseForRetry(IngressCall &call);
+    Offer chooseCanary(IngressCall &call);
     const MemberRecord *localTarget(const IngressCall &call) const;
     TargetPicker &pickerFor(const IngressCall &call);
 
--- a/src/daemon/configfollower.cpp
+++ b/src/daemon/configwatcher.cpp
@@ -1,4 +1,4 @@
-#include "daemon/configfollower.h"
+#include "daemon/configwatcher.h"
 
 #include "core/config/contenthash.h"
 #include "daemon/documentwatcher.h"
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-Result<std::shared_ptr<const ConfigRevision>> revisionOf(std::string content, const ConfigDecoder &decode)
+Result<std::shared_ptr<const ConfigRevision>> makeRevision(std::string content, const ConfigDecoder &decode)
 {
     auto decoded = decode(content);
     if (!decoded) {
@@ -25,7 +25,7 @@
     return std::shared_ptr<const ConfigRevision>(revision);
 }
 
-class ConfigFollower::Private
+class ConfigWatcher::Private
 {
 public:
     explicit Private(Options given)
@@ -36,7 +36,7 @@
               .seed = options.seed,
               .log = options.log,
               .firstList = Freshness::Latest,
-              .watches = options.watches,
+              .shouldWatch = options.shouldWatch,
               .received = [this](DocumentSet documents, bool) { return documentsReceived(std::move(documents)); },
               .failed = options.storeFailed,
               .stopping = options.stopping})
@@ -50,25 +50,25 @@
     bool documentsReceived(DocumentSet documents);
 };
 
-ConfigFollower::ConfigFollower(Options options)
+ConfigWatcher::ConfigWatcher(Options options)
     : d(std::make_unique<Private>(std::move(options)))
 {
 }
 
-ConfigFollower::~ConfigFollower() = default;
+ConfigWatcher::~ConfigWatcher() = default;
 
-std::uint64_t ConfigFollower::refused() const
+std::uint64_t ConfigWatcher::rejectedRevisions() const
 {
     return d->rejected;
 }
 
-void ConfigFollower::start()
+void ConfigWatcher::start()
 {
     d->watcher.start();
 }
 
 // Returns whether the documents include the configuration.
-bool ConfigFollower::Private::documentsReceived(DocumentSet documents)
+bool ConfigWatcher::Private::documentsReceived(DocumentSet documents)
 {
     auto &items = documents.documents;
     const auto last = std::find_if(items.rbegin(), items.rend(), [&](const StoredDocument &item) { return item.name == options.name && !item.removed; });
@@ -77,14 +77,14 @@
         return false;
     }
     const auto bytes = last->content.size();
-    auto revision = revisionOf(std::move(last->content), options.decode);
+    auto revision = makeRevision(std::move(last->content), options.decode);
     if (!revision) {
         ++rejected;
         options.log(LogLevel::Error, "stored-revision-invalid", {{"reason", revision.error().message}, {"bytes", bytes}});
         return true;
     }
     options.storeAnswered((*revision)->revision());
-    options.found(std::move(*revision));
+    options.revisionFound(std::move(*revision));
     return true;
 }
 
--- a/src/daemon/configfollower.h
+++ b/src/daemon/configwatcher.h
@@ -20,12 +20,12 @@
 
 // Builds a revision from a document's text. A document that does not decode, or
 // whose parts are inconsistent, is rejected as a whole.
-Result<std::shared_ptr<const ConfigRevision>> revisionOf(std::string content, const ConfigDecoder &decode);
+Result<std::shared_ptr<const ConfigRevision>> makeRevision(std::string content, const ConfigDecoder &decode);
 
 // Watches the document that holds the whole configuration. Every node reads it
 // once at its start. From then on only the watchers, a few members of each data
 // centre, read it; the other nodes pull new revisions from members, as deltas.
-class ConfigFollower
+class ConfigWatcher
 {
 public:
     struct Options
@@ -38,22 +38,22 @@
         std::uint64_t seed = 1;
         Logger log;
         // Called with each valid revision read from the store.
-        std::function<void(std::shared_ptr<const ConfigRevision>)> found;
+        std::function<void(std::shared_ptr<const ConfigRevision>)> revisionFound;
         // The store answered; the revision is zero if it has no configuration yet.
         std::function<void(Revision)> storeAnswered;
         std::function<void()> storeFailed;
         // Whether this node is a watcher.
-        std::function<bool()> watches;
+        std::function<bool()> shouldWatch;
         const bool &stopping;
     };
 
-    explicit ConfigFollower(Options options);
-    ~ConfigFollower();
+    explicit ConfigWatcher(Options options);
+    ~ConfigWatcher();
 
     void start();
 
     // Number of revisions in the store that were rejected since the process started.
-    std::uint64_t refused() const;
+    std::uint64_t rejectedRevisions() const;
 
 private:
     class Private;
--- a/src/daemon/contactkeeper.cpp
+++ b/src/daemon/contactmaintainer.cpp
@@ -1,4 +1,4 @@
-#include "daemon/contactkeeper.h"
+#include "daemon/contactmaintainer.h"
 
 #include "core/config/blobcollector.h"
 
@@ -58,7 +58,7 @@
 
 }
 
-class ContactKeeper::Private
+class ContactMaintainer::Private
 {
 public:
     explicit Private(Options given)
@@ -103,14 +103,14 @@
     void checkHead();
 };
 
-ContactKeeper::ContactKeeper(Options options)
+ContactMaintainer::ContactMaintainer(Options options)
     : d(std::make_unique<Private>(std::move(options)))
 {
 }
 
-ContactKeeper::~ContactKeeper() = default;
+ContactMaintainer::~ContactMaintainer() = default;
 
-Result<ContactKeeper::Private::Contacts> ContactKeeper::Private::readContacts(const std::string &key)
+Result<ContactMaintainer::Private::Contacts> ContactMaintainer::Private::readContacts(const std::string &key)
 {
     const auto object = options.store.read(key);
     if (object) {
@@ -122,7 +122,7 @@
     return tl::unexpected(object.error());
 }
 
-bool ContactKeeper::Private::joinThroughAny(std::vector<Endpoint> contacts, std::size_t wanted)
+bool ContactMaintainer::Private::joinThroughAny(std::vector<Endpoint> contacts, std::size_t wanted)
 {
     std::shuffle(contacts.begin(), contacts.end(), random);
     std::size_t joined = 0;
@@ -138,7 +138,7 @@
 // Adds this node to the contact list unless the list is full, then joins through the
 // other contacts. The node registers first: of two nodes that start at once, the
 // later writer sees the earlier one, so they cannot miss each other.
-bool ContactKeeper::Private::tryJoin()
+bool ContactMaintainer::Private::tryJoin()
 {
     const auto key = contactsKey(options.self.dataCentre);
     auto contacts = readContacts(key);
@@ -166,7 +166,7 @@
     return options.store.write(key, toJson({options.self.control()}), contacts->version).has_value();
 }
 
-void ContactKeeper::Private::checkHead()
+void ContactMaintainer::Private::checkHead()
 {
     if (Clock::now() >= nextHeadCheck) {
         nextHeadCheck = Clock::now() + HeadCheckInterval;
@@ -174,7 +174,7 @@
     }
 }
 
-std::vector<Endpoint> ContactKeeper::Private::liveControlAddresses() const
+std::vector<Endpoint> ContactMaintainer::Private::liveControlAddresses() const
 {
     std::vector<Endpoint> live;
     for (const auto &member : options.state->members()) {
@@ -185,9 +185,9 @@
     return live;
 }
 
-void ContactKeeper::Private::maintainContacts()
+void ContactMaintainer::Private::maintainContacts()
 {
-    if (!options.state->keepsContacts || Clock::now() < nextContactUpdate) {
+    if (!options.state->maintainsContacts || Clock::now() < nextContactUpdate) {
         return;
     }
     nextContactUpdate = Clock::now() + ContactInterval;
@@ -195,16 +195,16 @@
     joinOtherDataCentres();
 }
 
-Milliseconds ContactKeeper::Private::collectionDelay()
+Milliseconds ContactMaintainer::Private::collectionDelay()
 {
     return Milliseconds(std::uniform_int_distribution<std::int64_t>(CollectionInterval.count() / 2, CollectionInterval.count())(random));
 }
 
 // Done by the node that maintains the contact list. Nodes that know different members
 // may assign that role to different nodes; the collector tolerates several at once.
-void ContactKeeper::Private::collectBlobs()
+void ContactMaintainer::Private::collectBlobs()
 {
-    if (!options.state->keepsContacts || Clock::now() < nextCollection) {
+    if (!options.state->maintainsContacts || Clock::now() < nextCollection) {
         return;
     }
     nextCollection = Clock::now() + collectionDelay();
@@ -214,7 +214,7 @@
     }
 }
 
-void ContactKeeper::Private::reconcileLocalContacts()
+void ContactMaintainer::Private::reconcileLocalContacts()
 {
     const auto key = contactsKey(options.self.dataCentre);
     const auto contacts = readContacts(key);
@@ -246,7 +246,7 @@
 
 // Each data centre has its own contact list, so this is how nodes of different data
 // centres find each other, initially and after a partition between them.
-void ContactKeeper::Private::joinOtherDataCentres()
+void ContactMaintainer::Private::joinOtherDataCentres()
 {
     auto keys = options.store.list("contacts/");
     if (!keys) {
@@ -265,7 +265,7 @@
     }
 }
 
-void ContactKeeper::run()
+void ContactMaintainer::run()
 {
     d->options.store.pauseUpTo(StartSpread);
     while (!d->stopping() && !d->tryJoin()) {
--- a/src/daemon/contactkeeper.h
+++ b/src/daemon/contactmaintainer.h
@@ -13,7 +13,7 @@
 // Joins the fleet through the contacts in the store and, while the node holds that
 // role, maintains the contact list of its data centre. Runs on a thread of its own,
 // so that a slow watch and unresponsive contacts do not delay each other.
-class ContactKeeper
+class ContactMaintainer
 {
 public:
     struct Options
@@ -32,8 +32,8 @@
         std::function<void()> checkHead;
     };
 
-    explicit ContactKeeper(Options options);
-    ~ContactKeeper();
+    explicit ContactMaintainer(Options options);
+    ~ContactMaintainer();
 
     // Runs until NodeState::stopping is set.
     void run();
--- a/src/daemon/controlservice.cpp
+++ b/src/daemon/controlservice.cpp
@@ -15,7 +15,7 @@
 public:
     explicit Private(Options given)
         : options(std::move(given))
-        , methods({.state = options.state, .repository = options.repository, .accepted = options.accepted})
+        , methods({.state = options.state, .repository = options.repository, .revisionAccepted = options.revisionAccepted})
     {
     }
 
--- a/src/daemon/controlservice.h
+++ b/src/daemon/controlservice.h
@@ -28,7 +28,7 @@
         std::function<std::string()> counters;
         const ServiceLevelMetrics &metrics;
         // An operator's change was accepted through this node as this revision.
-        std::function<void(std::shared_ptr<const ConfigRevision>)> accepted;
+        std::function<void(std::shared_ptr<const ConfigRevision>)> revisionAccepted;
     };
 
     explicit ControlService(Options options);
--- a/src/daemon/documentwatcher.cpp
+++ b/src/daemon/documentwatcher.cpp
@@ -84,7 +84,7 @@
 {
     const auto keep = shared_from_this();
     while (!options.stopping) {
-        if (!firstList && !options.watches()) {
+        if (!firstList && !options.shouldWatch()) {
             wasWatcher = false;
             co_await sleepFor(options.context, RoleCheckInterval);
             continue;
@@ -92,7 +92,7 @@
         if (!wasWatcher && Clock::now() - lastSuccess > MaxResumeAge) {
             version = ObjectVersion();
         }
-        wasWatcher = options.watches();
+        wasWatcher = options.shouldWatch();
         const bool all = version == ObjectVersion();
         auto documents = co_await next();
         if (!documents) {
--- a/src/daemon/documentwatcher.h
+++ b/src/daemon/documentwatcher.h
@@ -25,7 +25,7 @@
         // watchers read a list.
         std::optional<Freshness> firstList;
         // Whether this node is a watcher.
-        std::function<bool()> watches;
+        std::function<bool()> shouldWatch;
         // Called with all documents of the kind, or with those that changed. Returns
         // whether to pause before the next watch, so that one call returns several changes.
         std::function<bool(DocumentSet documents, bool all)> received;
--- a/src/daemon/fleetcontrol.cpp
+++ b/src/daemon/fleetcontrol.cpp
@@ -5,7 +5,7 @@
 #include "core/fleet/readinessgate.h"
 #include "core/fleet/rendezvous.h"
 #include "core/fleet/revisionpuller.h"
-#include "core/fleet/watcherchoice.h"
+#include "core/fleet/watcherselection.h"
 
 #include <algorithm>
 
@@ -17,9 +17,9 @@
     explicit Private(FleetControlOptions given)
         : options(std::move(given))
         , membership(membershipOptions())
-        , puller({.patience = [this] { return readsStore() ? options.watcherPatience : Milliseconds(0); },
+        , puller({.watchGracePeriod = [this] { return readsStore() ? options.watchGracePeriod : Milliseconds(0); },
               .pull = [this](const Endpoint &peer) { options.pull(peer); },
-              .held = [this] { return options.state->revisions.revision(); }})
+              .revision = [this] { return options.state->revisions.revision(); }})
     {
     }
 
@@ -54,7 +54,7 @@
     Membership::Options membershipOptions;
     membershipOptions.self = options.self;
     membershipOptions.seed = options.seed;
-    membershipOptions.reviveInterval = options.reviveInterval;
+    membershipOptions.reconnectInterval = options.reconnectInterval;
     if (options.prefer == GossipPreference::Bytes) {
         membershipOptions.fanOut = 2;
         membershipOptions.revisionRounds = 1;
@@ -67,40 +67,40 @@
     membershipOptions.send = options.send;
     membershipOptions.changed = [this] { viewOutdated = true; };
     membershipOptions.revision = [this] { return options.state->revisions.revision(); };
-    membershipOptions.revisionHeard = [this](const Endpoint &member, Revision revision) { revisionAdvertised(member, revision); };
+    membershipOptions.revisionAdvertised = [this](const Endpoint &member, Revision revision) { revisionAdvertised(member, revision); };
     return membershipOptions;
 }
 
 void FleetControl::Private::revisionAdvertised(const Endpoint &member, Revision revision)
 {
-    auto &highest = options.state->highestKnown;
+    auto &highest = options.state->highestKnownRevision;
     highest = std::max(highest.load(), revision.value());
-    gate.memberHeard(member, revision);
-    puller.heard(member, revision, Clock::now());
+    gate.revisionAdvertised(member, revision);
+    puller.revisionAdvertised(member, revision, Clock::now());
 }
 
 void FleetControl::Private::revisionReceived(const std::shared_ptr<const ConfigRevision> &revision)
 {
     const auto number = revision->revision().value();
     switch (options.state->revisions.offer(revision)) {
-    case RevisionHolder::Verdict::Taken:
-        options.state->highestKnown = std::max(options.state->highestKnown.load(), number);
+    case RevisionHolder::OfferResult::Adopted:
+        options.state->highestKnownRevision = std::max(options.state->highestKnownRevision.load(), number);
         options.log(LogLevel::Info, "revision-in-force", {{"revision", number}, {"digest", revision->digest.value()}});
-        if (options.revisionTaken) {
-            options.revisionTaken(revision);
+        if (options.revisionAdopted) {
+            options.revisionAdopted(revision);
         }
         // The view is published first, so that this node already serves the revision
         // when a peer learns of it.
         publish();
         membership.announceRevision(Clock::now());
         break;
-    case RevisionHolder::Verdict::Older:
+    case RevisionHolder::OfferResult::Older:
         options.log(LogLevel::Warning, "older-revision-refused", {{"offered", number}, {"in_force", options.state->revisions.revision().value()}});
         break;
-    case RevisionHolder::Verdict::Forked:
+    case RevisionHolder::OfferResult::Forked:
         options.log(LogLevel::Error, "revision-forked", {{"revision", number}, {"digest", revision->digest.value()}});
         break;
-    case RevisionHolder::Verdict::Known:
+    case RevisionHolder::OfferResult::Known:
         break;
     }
 }
@@ -119,9 +119,9 @@
     viewOutdated = false;
     const auto live = membership.live();
     options.state->setMembers(live);
-    options.state->watchesStore = watchesAsFallback || WatcherChoice{.perDataCentre = options.watchers}.chooses(membership.self(), live);
-    options.state->keepsContacts = holdsRole("contacts", 1, membership.self(), live);
-    open = gate.open(options.state->revisions.revision(), live.size() - 1);
+    options.state->watchesStore = watchesAsFallback || WatcherSelection{.maxPerDataCentre = options.watchers}.selects(membership.self(), live);
+    options.state->maintainsContacts = holdsRole("contacts", 1, membership.self(), live);
+    open = gate.checkReady(options.state->revisions.revision(), live.size() - 1);
     if (open) {
         options.publishView(RoutingView::build(options.state->revisions.current(), membership.records(), versionRules));
     }
@@ -132,8 +132,8 @@
 // probes stay unanswered therefore watches the store itself until it hears from a member.
 void FleetControl::Private::updateFallbackWatch()
 {
-    if (membership.unanswered() != watchesAsFallback) {
-        watchesAsFallback = membership.unanswered();
+    if (membership.lastProbeUnanswered() != watchesAsFallback) {
+        watchesAsFallback = membership.lastProbeUnanswered();
         viewOutdated = true;
     }
 }
@@ -194,7 +194,7 @@
 
 void FleetControl::pullEnded(const Endpoint &peer)
 {
-    d->puller.ended(peer, Clock::now());
+    d->puller.pullEnded(peer, Clock::now());
 }
 
 void FleetControl::storeAnswered(Revision revision)
@@ -214,12 +214,12 @@
     d->membership.setState(MemberState::Left, Clock::now());
 }
 
-bool FleetControl::open() const
+bool FleetControl::isReady() const
 {
     return d->open;
 }
 
-std::vector<Endpoint> FleetControl::otherAddresses() const
+std::vector<Endpoint> FleetControl::peerAddresses() const
 {
     std::vector<Endpoint> addresses;
     for (const auto &member : d->membership.live()) {
@@ -236,7 +236,7 @@
     return std::any_of(records.begin(), records.end(), [&](const MemberRecord &record) { return record.name == member; });
 }
 
-std::size_t FleetControl::others() const
+std::size_t FleetControl::peerCount() const
 {
     return d->membership.live().size() - 1;
 }
--- a/src/daemon/fleetcontrol.h
+++ b/src/daemon/fleetcontrol.h
@@ -30,15 +30,15 @@
     std::function<void(std::shared_ptr<const RoutingView>)> publishView;
     // A revision came into force; the routing view that uses it is published next.
     // May be null.
-    std::function<void(std::shared_ptr<const ConfigRevision>)> revisionTaken;
+    std::function<void(std::shared_ptr<const ConfigRevision>)> revisionAdopted;
     // Starts to pull the peer's revision. `revisionReceived` must be called if the pull
     // succeeds, and `pullEnded` in any case.
     std::function<void(const Endpoint &peer)> pull;
     // Time that a watcher gives its own watch of the store before it pulls a newer
     // revision from a member.
-    Milliseconds watcherPatience{0};
+    Milliseconds watchGracePeriod{0};
     // Time between two probes of members that were declared gone.
-    Milliseconds reviveInterval{5000};
+    Milliseconds reconnectInterval{5000};
 };
 
 // Makes all decisions about membership and the revision in force. Used by one thread,
@@ -77,11 +77,11 @@
 
     // Whether the node may accept calls: it has the highest revision that it can learn
     // of in force.
-    bool open() const;
+    bool isReady() const;
 
     // Number and control addresses of the other live members.
-    std::size_t others() const;
-    std::vector<Endpoint> otherAddresses() const;
+    std::size_t peerCount() const;
+    std::vector<Endpoint> peerAddresses() const;
 
     // Whether a member of that name is known, even one that was declared gone.
     bool knows(const NodeName &member) const;
--- a/src/daemon/fleetquery.cpp
+++ b/src/daemon/fleetquery.cpp
@@ -15,7 +15,7 @@
     HttpClient &client;
     std::string resource;
     Milliseconds timeLimit;
-    std::vector<MemberAnswer> responses;
+    std::vector<MemberResponse> responses;
     std::size_t next = 0;
 };
 
@@ -38,7 +38,7 @@
 
 }
 
-std::vector<MemberAnswer> queryFleet(const std::vector<MemberRecord> &members, const std::string &resource, Milliseconds timeLimit)
+std::vector<MemberResponse> queryFleet(const std::vector<MemberRecord> &members, const std::string &resource, Milliseconds timeLimit)
 {
     asio::io_context context(1);
     HttpClient client(context, {});
--- a/src/daemon/fleetquery.h
+++ b/src/daemon/fleetquery.h
@@ -9,7 +9,7 @@
 namespace Galenahill {
 
 // One member's response to a query.
-struct MemberAnswer
+struct MemberResponse
 {
     MemberRecord member;
     // Body of the response; unset if the member is gone, did not respond in time or
@@ -19,6 +19,6 @@
 
 // Requests a resource from the control ports of all members, at most `MaxParallel` at a
 // time, and waits for the responses. Blocks.
-std::vector<MemberAnswer> queryFleet(const std::vector<MemberRecord> &members, const std::string &resource, Milliseconds timeLimit);
+std::vector<MemberResponse> queryFleet(const std::vector<MemberRecord> &members, const std::string &resource, Milliseconds timeLimit);
 
 }
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -1,11 +1,11 @@
 #include "daemon/ingress.h"
 
-#include "core/calls/attempttimer.h"
+#include "core/calls/attempttimeoutpolicy.h"
 #include "core/calls/callheaders.h"
-#include "core/calls/returntime.h"
+#include "core/calls/priorityinversionguard.h"
+#include "core/calls/retryafter.h"
 #include "core/calls/routelimiter.h"
 #include "core/calls/trafficsplit.h"
-#include "core/calls/urgencyguard.h"
 #include "core/config/configlimits.h"
 #include "core/rollouts/versionsplit.h"
 #include "daemon/callmessages.h"
@@ -41,8 +41,8 @@
               .dataCentre = options.dataCentre,
               .seed = options.seed,
               .policy = options.policy,
-              .retries = options.retries,
-              .calledBy = [this](const RouteName &route) -> const std::vector<ServiceName> & { return guard.calledBy(route); }})
+              .retryBudget = options.retryBudget,
+              .calledServices = [this](const RouteName &route) -> const std::vector<ServiceName> & { return guard.calledServices(route); }})
         , versions(options.seed)
         , returnTime(options.seed)
         , guard({.seed = options.seed})
@@ -53,9 +53,9 @@
     CallRouter router;
     TrafficSplit split;
     VersionSplit versions;
-    ReturnTime returnTime;
-    UrgencyGuard guard;
-    AttemptTimer attempts;
+    RetryAfter returnTime;
+    PriorityInversionGuard guard;
+    AttemptTimeoutPolicy attempts;
     RouteLimiter routes{{}};
     std::atomic<std::uint64_t> retriesMade = 0;
     std::atomic<std::uint64_t> shedCalls = 0;
@@ -67,7 +67,7 @@
     std::optional<RunningCall> parentOf(const CallId &id) const;
     asio::awaitable<HttpResponse> admit(IngressCall &call);
     asio::awaitable<HttpResponse> route(IngressCall &call);
-    asio::awaitable<Attempt> attempt(IngressCall &call, Choice choice);
+    asio::awaitable<Attempt> attempt(IngressCall &call, Offer choice);
     asio::awaitable<Result<HttpResponse>> ask(IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
     asio::awaitable<Result<HttpResponse>> askWithTimeout(
         IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
@@ -98,12 +98,12 @@
 
 void Ingress::targetLoadReceived(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed)
 {
-    d->router.loadObserved(target, load, wait, observed);
+    d->router.updateTargetLoad(target, load, wait, observed);
 }
 
 void Ingress::poolLoadReceived(const PoolReport &pool, TimePoint observed)
 {
-    d->router.poolObserved(pool, observed);
+    d->router.updatePoolLoad(pool, observed);
 }
 
 void Ingress::Private::setDeadlines(IngressCall &call, const HttpRequest &request)
@@ -111,7 +111,7 @@
     call.begin = Clock::now();
     auto timeout = call.route->timeout;
     call.callerDeadline = call.begin + std::min(timeout, ConfigLimits::MaxTimeout);
-    if (const auto wanted = timeoutHeader(request, options.dialect.timeLeft)) {
+    if (const auto wanted = timeoutHeader(request, options.headerNames.timeoutMs)) {
         const Milliseconds left(std::max<std::int64_t>(*wanted, 0));
         call.callerDeadline = call.begin + std::min(left, ConfigLimits::MaxTimeout);
         timeout = std::min(timeout, left);
@@ -122,13 +122,13 @@
 // Sends all calls to the canary version if the service has no other target.
 void Ingress::Private::assignVersion(IngressCall &call)
 {
-    const auto *canary = call.view->trialOf(call.service);
+    const auto *canary = call.view->canaryOf(call.service);
     if (canary == nullptr || canary->targets.empty()) {
         return;
     }
     const bool onlyOne = call.view->targetsOf(call.service).empty();
     if (onlyOne || versions.next(call.service, canary->share)) {
-        call.trial = canary;
+        call.canary = canary;
         call.version = canary->version;
     }
 }
@@ -137,10 +137,10 @@
 // running the parent.
 std::optional<RunningCall> Ingress::Private::parentOf(const CallId &id) const
 {
-    if (!options.dialect.parentOf || !options.runningCall) {
+    if (!options.headerNames.parentOf || !options.runningCall) {
         return std::nullopt;
     }
-    const auto parent = options.dialect.parentOf(id.value());
+    const auto parent = options.headerNames.parentOf(id.value());
     return parent.empty() ? std::nullopt : options.runningCall(parent);
 }
 
@@ -149,7 +149,7 @@
     IngressCall call{.connection = connection};
     call.view = d->view;
     call.begin = Clock::now();
-    const auto &idField = d->options.dialect.requestId;
+    const auto &idField = d->options.headerNames.requestId;
     call.id = idField.empty() ? CallId(fmt::format("{}-{}", d->options.node.value(), d->nextCall++)) : CallId(std::string(request[idField]));
     if (!call.view || !call.view->config) {
         d->reportUnrouted(call, 0, "no configuration");
@@ -167,28 +167,28 @@
     }
     d->setDeadlines(call, request);
     call.service = d->split.next(*call.route);
-    if (!call.view->trials.empty()) {
+    if (!call.view->canaries.empty()) {
         d->assignVersion(call);
     }
     call.retriedAbove = request.find(CallHeaders::RetriedAbove) != request.end();
     const auto parent = d->parentOf(call.id);
-    call.forRunningCall = parent.has_value();
-    call.ofRepeat = parent && parent->repeat;
+    call.hasRunningParent = parent.has_value();
+    call.parentIsRetry = parent && parent->isRetry;
     call.priority = parent ? parent->priority : call.route->priority;
-    if (parent && d->options.runCalled) {
-        d->options.runCalled(parent->route, call.service);
+    if (parent && d->options.nestedCallMade) {
+        d->options.nestedCallMade(parent->route, call.service);
     }
-    call.large = connection.requestBody() != nullptr || request.body().size() > LargeBodyBytes;
-    stripFields(request, d->options.dialect);
+    call.hasLargeBody = connection.requestBody() != nullptr || request.body().size() > LargeBodyBytes;
+    stripFields(request, d->options.headerNames);
     request.keep_alive(true);
     call.request = std::move(request);
     auto response = co_await d->admit(call);
-    d->options.callEnded(*call.route, endOf(response), std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - call.begin));
+    d->options.callEnded(*call.route, callResultOf(response), std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - call.begin));
     d->report(call, response);
     co_return response;
 }
 
-bool Ingress::mayRunAhead(const HttpRequest &request) const
+bool Ingress::mayPipeline(const HttpRequest &request) const
 {
     if (!d->view || !d->view->config) {
         return false;
@@ -197,9 +197,9 @@
     return route != nullptr && route->idempotent();
 }
 
-void Ingress::stop()
+void Ingress::prepareToStop()
 {
-    d->router.stop();
+    d->router.prepareToStop();
 }
 
 std::uint64_t Ingress::shedCalls() const
@@ -224,16 +224,16 @@
         .service = call.service,
         .version = call.version,
         .revision = call.view->config->revision(),
-        .end = endOf(response),
+        .result = callResultOf(response),
         .status = response.result_int(),
         .target = call.lastTarget,
-        .asked = call.offers.asked.size() + call.offers.waitedAt.size(),
-        .sent = call.sent,
+        .offerCount = call.offers.offeredWithoutWaiting.size() + call.offers.queuedAt.size(),
+        .attemptsSent = call.attemptsSent,
         .latency = std::chrono::duration_cast<std::chrono::microseconds>(now - call.begin),
         .timeLeft = std::chrono::duration_cast<Milliseconds>(call.callerDeadline - now),
-        .toldWait = call.toldWait,
+        .reportedWait = call.reportedWait,
         .cancelled = call.connection.cancellation().cancelled(),
-        .forRunningCall = call.forRunningCall,
+        .hasRunningParent = call.hasRunningParent,
         .caller = call.connection.peerAddress(),
         .reason = call.reason});
 }
@@ -243,7 +243,7 @@
     if (options.callReported) {
         options.callReported({.id = call.id,
             .revision = call.view && call.view->config ? call.view->config->revision() : Revision(),
-            .end = CallEnd::NotRun,
+            .result = CallResult::NotRun,
             .status = status,
             .caller = call.connection.peerAddress(),
             .reason = std::move(reason)});
@@ -252,34 +252,34 @@
 
 asio::awaitable<HttpResponse> Ingress::Private::admit(IngressCall &call)
 {
-    if (!routes.tryEnter(call.route->name)) {
+    if (!routes.tryAcquire(call.route->name)) {
         co_return notRunResponse(http::status::service_unavailable,
             "refused",
             fmt::format("this node has reached its limit of concurrent calls, for route {} or in total", call.route->name.value()));
     }
     // A nested call is never shed here: the work of its parent call would be lost.
-    if (!call.forRunningCall && guard.shedLoad(*call.route, call.begin)) {
-        routes.leave(call.route->name);
+    if (!call.hasRunningParent && guard.shouldShed(*call.route, call.begin)) {
+        routes.release(call.route->name);
         ++shedCalls;
         call.reason = fmt::format("shed: a share of {:.2f} of the higher-priority calls to the services that this route calls is being rejected",
-            guard.refusedAbove(*call.route, call.begin));
+            guard.higherPriorityRejectionRatio(*call.route, call.begin));
         co_return refusal(call);
     }
     auto response = co_await route(call);
-    routes.leave(call.route->name);
-    if (!call.forRunningCall) {
-        guard.ended(*call.route, call.service, endOf(response) == CallEnd::NotRun && call.sent == 0, Clock::now());
+    routes.release(call.route->name);
+    if (!call.hasRunningParent) {
+        guard.callEnded(*call.route, call.service, callResultOf(response) == CallResult::NotRun && call.attemptsSent == 0, Clock::now());
     }
     co_return response;
 }
 
 HttpResponse Ingress::Private::finalAnswer(IngressCall &call, Attempt last)
 {
-    if (last.end == AttemptEnd::Answered || last.end == AttemptEnd::Failed || last.end == AttemptEnd::Shed) {
-        stripFields(last.response, options.dialect);
+    if (last.result == AttemptResult::Answered || last.result == AttemptResult::Failed || last.result == AttemptResult::Overloaded) {
+        stripFields(last.response, options.headerNames);
         return std::move(last.response);
     }
-    if (call.uncertain > 0 || mayHaveRun(last.end)) {
+    if (call.unknownOutcomes > 0 || mayHaveRun(last.result)) {
         const bool late = Clock::now() >= call.deadline;
         return outcomeUnknownResponse(fmt::format("call {} may have run; check its effect before retrying it", call.id.value()),
             late ? http::status::gateway_timeout : http::status::bad_gateway);
@@ -293,24 +293,24 @@
     return notRunResponse(http::status::service_unavailable,
         "refused",
         fmt::format("call {} was not run: no target of {} accepts it at present", call.id.value(), call.service.value()),
-        returnTime.after(call.toldWait.value_or(Milliseconds(0)), left));
+        returnTime.delay(call.reportedWait.value_or(Milliseconds(0)), left));
 }
 
 asio::awaitable<HttpResponse> Ingress::Private::route(IngressCall &call)
 {
-    router.callMade(call);
+    router.callStarted(call);
     Attempt last;
     std::optional<Attempt> failed;
     auto choice = router.choose(call);
     while (choice.target != nullptr) {
         call.lastTarget = choice.target->name;
         last = co_await attempt(call, choice);
-        const auto outcome = last.end;
+        const auto outcome = last.result;
         router.attemptEnded(call, outcome);
-        if (outcome == AttemptEnd::Answered || !router.mayRetry(call, outcome)) {
+        if (outcome == AttemptResult::Answered || !router.mayRetry(call, outcome)) {
             break;
         }
-        if (outcome == AttemptEnd::Failed) {
+        if (outcome == AttemptResult::Failed) {
             failed = std::move(last);
             last = Attempt();
         }
@@ -320,14 +320,14 @@
     router.callEnded(call);
     // An error response of a target tells the caller more than a rejection or a timeout of the
     // retry that followed it.
-    const bool answered = last.end == AttemptEnd::Answered || last.end == AttemptEnd::Failed;
+    const bool answered = last.result == AttemptResult::Answered || last.result == AttemptResult::Failed;
     if (failed && !answered) {
         last = std::move(*failed);
     }
-    if (last.rest) {
-        stripFields(last.response, options.dialect);
+    if (last.remainingBody) {
+        stripFields(last.response, options.headerNames);
         const HttpResponse sent(last.response.result(), last.response.version());
-        co_await call.connection.sendStreamed(std::move(last.response), *last.rest);
+        co_await call.connection.sendStreamed(std::move(last.response), *last.remainingBody);
         co_return sent;
     }
     co_return finalAnswer(call, std::move(last));
@@ -341,20 +341,20 @@
         .objectiveLeft = std::nullopt,
         .mayWait = mayWait,
         .waitLeft = router.waitLeft(call),
-        .forRunningCall = call.forRunningCall,
-        .repeat = call.ofRepeat || call.uncertain > 0};
+        .hasRunningParent = call.hasRunningParent,
+        .isRetry = call.parentIsRetry || call.unknownOutcomes > 0};
     if (call.route->sloLatency.count() > 0) {
         const auto left = std::chrono::duration_cast<Milliseconds>(call.begin + call.route->sloLatency - now);
         terms.objectiveLeft = std::max(left, Milliseconds(0));
     }
-    if (options.dialect.requestId.empty()) {
+    if (options.headerNames.requestId.empty()) {
         request.set(CallHeaders::CallId, call.id.value());
     }
     request.set(CallHeaders::Service, call.service.value());
     request.set(CallHeaders::Route, call.route->name.value());
     request.set(CallHeaders::TimeoutMs, std::to_string(std::chrono::duration_cast<Milliseconds>(call.deadline - now).count()));
-    if (call.trial != nullptr) {
-        request.set(CallHeaders::Version, call.trial->version.value());
+    if (call.canary != nullptr) {
+        request.set(CallHeaders::Version, call.canary->version.value());
     } else {
         request.erase(CallHeaders::Version);
     }
@@ -376,14 +376,14 @@
     IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest)
 {
     const auto sidecar = target.sidecar();
-    if (options.askOwnSidecar && sidecar == options.ownSidecar) {
-        co_return co_await options.askOwnSidecar(call.request, connection);
+    if (options.callLocalSidecar && sidecar == options.localSidecar) {
+        co_return co_await options.callLocalSidecar(call.request, connection);
     }
-    HttpClient::Companions companions;
+    HttpClient::ExchangeOptions companions;
     companions.cancellation = &connection.cancellation();
     companions.requestBody = connection.requestBody();
-    companions.askFirst = true;
-    companions.answerBody = &rest;
+    companions.expectContinue = true;
+    companions.responseBody = &rest;
     co_return co_await options.client.exchange(sidecar, call.request, call.deadline, companions);
 }
 
@@ -406,10 +406,10 @@
     timer->async_wait([this, &call, &connection, weak = std::weak_ptr(timer)](const ErrorCode &error) {
         // The attempt owns the timer: if the timer is gone, so are the call and the connection.
         const auto running = weak.lock();
-        if (error || !running || connection.answering()) {
+        if (error || !running || connection.responseStarted()) {
             return;
         }
-        if (router.canRepeatElsewhere(call)) {
+        if (router.canRetryElsewhere(call)) {
             connection.cancellation().cancel();
             return;
         }
@@ -418,7 +418,7 @@
     });
 }
 
-asio::awaitable<Attempt> Ingress::Private::attempt(IngressCall &call, Choice choice)
+asio::awaitable<Attempt> Ingress::Private::attempt(IngressCall &call, Offer choice)
 {
     const auto begin = Clock::now();
     if (call.deadline - begin < Milliseconds(1)) {
@@ -426,37 +426,37 @@
     }
     const auto &target = *choice.target;
     setSidecarFields(call, choice.mayWait);
-    router.begin(call, target.name);
+    router.addInFlight(call, target.name);
     Attempt result;
     auto &connection = call.attemptConnection.emplace(call.connection);
-    const bool retryable = options.policy.retryBudget && router.mayRepeat(call);
-    auto exchange = retryable ? askWithTimeout(call, target, connection, result.rest) : ask(call, target, connection, result.rest);
+    const bool retryable = options.policy.retryBudget && router.isRetryable(call);
+    auto exchange = retryable ? askWithTimeout(call, target, connection, result.remainingBody) : ask(call, target, connection, result.remainingBody);
     auto response = co_await std::move(exchange);
-    router.end(call, target.name);
-    result.end = endOfAttempt(response, options.dialect);
+    router.removeInFlight(call, target.name);
+    result.result = attemptResultOf(response, options.headerNames);
     if (call.connection.cancellation().cancelled()) {
         // The caller cancelled the call, which says nothing about the target.
         co_return result;
     }
-    router.learn(call, target.name, result.end, response);
-    if (result.end == AttemptEnd::Answered || result.end == AttemptEnd::OutcomeUnknown) {
-        attempts.observed(call.route->name, std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - begin));
+    router.recordResult(call, target.name, result.result, response);
+    if (result.result == AttemptResult::Answered || result.result == AttemptResult::OutcomeUnknown) {
+        attempts.record(call.route->name, std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - begin));
     }
     if (!response) {
         call.reason = response.error().message;
         co_return result;
     }
-    if (auto services = callsHeader(*response); !services.empty()) {
-        guard.learn(call.route->name, std::move(services));
+    if (auto services = calledServicesHeader(*response); !services.empty()) {
+        guard.setCalledServices(call.route->name, std::move(services));
     }
     const auto wait = waitHeader(*response);
     if (wait || loadHeader(*response)) {
         router.updateExpectedWait(call, target.name, wait.value_or(Milliseconds(0)));
     }
-    if (wait && result.end == AttemptEnd::NotRun) {
-        call.toldWait = std::min(call.toldWait.value_or(*wait), *wait);
+    if (wait && result.result == AttemptResult::NotRun) {
+        call.reportedWait = std::min(call.reportedWait.value_or(*wait), *wait);
     }
-    if (result.end != AttemptEnd::Answered) {
+    if (result.result != AttemptResult::Answered) {
         call.reason = response->body().substr(0, MaxReasonBytes);
     }
     result.response = std::move(*response);
--- a/src/daemon/ingress.h
+++ b/src/daemon/ingress.h
@@ -2,7 +2,7 @@
 
 #include "adapters/http/httpclient.h"
 #include "adapters/http/httpserver.h"
-#include "core/calls/calldialect.h"
+#include "core/calls/callheadernames.h"
 #include "core/calls/callpolicy.h"
 #include "core/calls/loadreport.h"
 #include "core/calls/retrybudget.h"
@@ -29,21 +29,21 @@
     // Canary version that the call was assigned to; empty if none.
     TargetVersion version;
     Revision revision;
-    CallEnd end = CallEnd::NotRun;
+    CallResult result = CallResult::NotRun;
     unsigned status = 0;
     // The last target that the call was offered to, the number of offers to sidecars, and the number
     // of times that the call was sent to a target.
     NodeName target;
-    std::size_t asked = 0;
-    std::uint32_t sent = 0;
+    std::size_t offerCount = 0;
+    std::uint32_t attemptsSent = 0;
     std::chrono::microseconds latency{0};
     // Time left until the caller's deadline when the response was ready.
     Milliseconds timeLeft{0};
     // Shortest expected wait for a slot that a sidecar reported.
-    std::optional<Milliseconds> toldWait;
+    std::optional<Milliseconds> reportedWait;
     bool cancelled = false;
     // Whether this is a nested call of a call that the local target was running.
-    bool forRunningCall = false;
+    bool hasRunningParent = false;
     // IP address of the caller.
     std::string caller;
     std::string reason;
@@ -62,22 +62,22 @@
         std::uint64_t seed = 1;
         CallPolicy policy;
         // Names of the header fields that callers and targets use.
-        CallDialect dialect;
+        CallHeaderNames headerNames;
         // Service of this VM, sent along as the service that the calls come from.
         ServiceName callerService;
         // Budget of each service for retries of calls that may have run.
-        RetryBudget::Options retries;
+        RetryBudget::Options retryBudget;
         // The sidecar in this process, called without a connection, and the endpoint at which other
         // nodes reach it. If null, every sidecar is called over the network.
-        Endpoint ownSidecar;
-        std::function<asio::awaitable<HttpResponse>(HttpRequest request, ServerConnection &connection)> askOwnSidecar;
+        Endpoint localSidecar;
+        std::function<asio::awaitable<HttpResponse>(HttpRequest request, ServerConnection &connection)> callLocalSidecar;
         // Returns the call with the given id if the local target is running it. May be null.
         std::function<std::optional<RunningCall>(std::string_view id)> runningCall;
         // Called when the local target, while it runs a call of the route, makes a nested call to the
         // service. May be null.
-        std::function<void(const RouteName &route, const ServiceName &service)> runCalled;
+        std::function<void(const RouteName &route, const ServiceName &service)> nestedCallMade;
         // Called with the outcome of each call when its final response is ready.
-        std::function<void(const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency)> callEnded;
+        std::function<void(const RouteDefinition &route, CallResult end, std::chrono::microseconds latency)> callEnded;
         // Called with the full details of each call. May be null.
         std::function<void(const CallReport &report)> callReported;
     };
@@ -100,10 +100,10 @@
     asio::awaitable<HttpResponse> handle(HttpRequest request, ServerConnection &connection);
 
     // Whether a pipelined call may start before earlier calls of its connection have been answered.
-    bool mayRunAhead(const HttpRequest &request) const;
+    bool mayPipeline(const HttpRequest &request) const;
 
     // Prepares for the node's shutdown: running attempts are no longer cancelled in favour of a retry.
-    void stop();
+    void prepareToStop();
 
     // Number of attempts after the first attempt of a call.
     std::uint64_t retries() const;
--- a/src/daemon/ingresscall.cpp
+++ b/src/daemon/ingresscall.cpp
@@ -2,15 +2,15 @@
 
 namespace Galenahill {
 
-CallEnd endOf(const HttpResponse &response)
+CallResult callResultOf(const HttpResponse &response)
 {
-    if (saysNotRun(response)) {
-        return CallEnd::NotRun;
+    if (isNotRun(response)) {
+        return CallResult::NotRun;
     }
-    if (saysOutcomeUnknown(response)) {
-        return CallEnd::OutcomeUnknown;
+    if (isOutcomeUnknown(response)) {
+        return CallResult::OutcomeUnknown;
     }
-    return response.result_int() >= 500 ? CallEnd::TargetFailed : CallEnd::Answered;
+    return response.result_int() >= 500 ? CallResult::TargetFailed : CallResult::Answered;
 }
 
 std::string_view pathOf(const HttpRequest &request)
@@ -26,34 +26,34 @@
     return host.substr(0, host.find(':'));
 }
 
-bool isSent(AttemptEnd outcome)
+bool isSent(AttemptResult outcome)
 {
-    return outcome != AttemptEnd::NotRun;
+    return outcome != AttemptResult::NotRun;
 }
 
-bool mayHaveRun(AttemptEnd outcome)
+bool mayHaveRun(AttemptResult outcome)
 {
-    return outcome == AttemptEnd::OutcomeUnknown || outcome == AttemptEnd::Shed || outcome == AttemptEnd::Failed;
+    return outcome == AttemptResult::OutcomeUnknown || outcome == AttemptResult::Overloaded || outcome == AttemptResult::Failed;
 }
 
-AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &headerNames)
+AttemptResult attemptResultOf(const Result<HttpResponse> &response, const CallHeaderNames &headerNames)
 {
     if (!response) {
-        return response.error().kind == ErrorKind::Unavailable ? AttemptEnd::NotRun : AttemptEnd::OutcomeUnknown;
+        return response.error().kind == ErrorKind::Unavailable ? AttemptResult::NotRun : AttemptResult::OutcomeUnknown;
     }
-    if (saysNotRunByTarget(*response)) {
-        return AttemptEnd::NotRunByTarget;
+    if (isNotRunByTarget(*response)) {
+        return AttemptResult::NotRunByTarget;
     }
-    if (saysNotRun(*response)) {
-        return AttemptEnd::NotRun;
+    if (isNotRun(*response)) {
+        return AttemptResult::NotRun;
     }
-    if (saysOutcomeUnknown(*response)) {
-        return AttemptEnd::OutcomeUnknown;
+    if (isOutcomeUnknown(*response)) {
+        return AttemptResult::OutcomeUnknown;
     }
     if (!headerNames.notExecuted.empty()) {
-        return response->result_int() >= 500 ? AttemptEnd::Failed : AttemptEnd::Answered;
+        return response->result_int() >= 500 ? AttemptResult::Failed : AttemptResult::Answered;
     }
-    return response->result() == http::status::service_unavailable ? AttemptEnd::Shed : AttemptEnd::Answered;
+    return response->result() == http::status::service_unavailable ? AttemptResult::Overloaded : AttemptResult::Answered;
 }
 
 }
--- a/src/daemon/ingresscall.h
+++ b/src/daemon/ingresscall.h
@@ -33,35 +33,35 @@
     std::optional<AttemptConnection> attemptConnection;
     OfferHistory offers;
     // Canary version that the call is offered to; null if none.
-    const VersionTrial *trial = nullptr;
+    const CanaryVersion *canary = nullptr;
     // Canary version that the call was first assigned to, for the log.
     TargetVersion version;
     // Targets that may have run the call and sidecars that have been offered a retry of it. Further
     // retries skip them.
-    std::vector<NodeName> notToRepeatAt;
-    std::uint32_t repeatsOffered = 0;
+    std::vector<NodeName> excludedFromRetry;
+    std::uint32_t retryOffers = 0;
     // Whether a retry has been taken from the budget for the next attempt.
-    bool holdsRepeat = false;
+    bool retryReserved = false;
     NodeName lastTarget;
     // Number of attempts that reached a target, and of those among them that may have run the call.
-    std::uint32_t sent = 0;
-    std::uint32_t uncertain = 0;
-    std::optional<Milliseconds> toldWait;
+    std::uint32_t attemptsSent = 0;
+    std::uint32_t unknownOutcomes = 0;
+    std::optional<Milliseconds> reportedWait;
     std::string reason;
     // Whether a node nearer to the first caller retries the call if it fails.
     bool retriedAbove = false;
     // Whether the body is long enough to occupy a slow link for a while.
-    bool large = false;
+    bool hasLargeBody = false;
     // Priority of the root call of the call tree; zero is the highest.
     std::uint32_t priority = 0;
     // Whether this is a nested call of a call that the local target is running.
-    bool forRunningCall = false;
+    bool hasRunningParent = false;
     // Whether that parent call is a retry, which makes its nested calls again.
-    bool ofRepeat = false;
+    bool parentIsRetry = false;
 };
 
 // Outcome of one attempt.
-enum class AttemptEnd {
+enum class AttemptResult {
     Answered,
     // The target ran the call and returned an error.
     Failed,
@@ -71,31 +71,31 @@
     NotRunByTarget,
     // The target responded that it is overloaded. Unlike a rejection by the sidecar, that does not
     // prove that the call was not run.
-    Shed,
+    Overloaded,
     OutcomeUnknown,
 };
 
 // Result of one attempt to have a target run the call, made through the target's sidecar.
 struct Attempt
 {
-    AttemptEnd end = AttemptEnd::NotRun;
+    AttemptResult result = AttemptResult::NotRun;
     HttpResponse response;
     // The part of a long response body that has not arrived yet.
-    std::unique_ptr<BodySource> rest;
+    std::unique_ptr<BodySource> remainingBody;
 };
 
 // Outcome of the call whose final response this is.
-CallEnd endOf(const HttpResponse &response);
+CallResult callResultOf(const HttpResponse &response);
 
 // Outcome of the attempt that got this response. An Unavailable error means that the call was not
 // sent. If there is a header for it, only that header in the target's response proves that the target
 // did not run the call; a status of 503 does not.
-AttemptEnd endOfAttempt(const Result<HttpResponse> &response, const CallDialect &headerNames);
+AttemptResult attemptResultOf(const Result<HttpResponse> &response, const CallHeaderNames &headerNames);
 
 // Whether an attempt with this outcome reached the target, and whether the target may have run the
 // call.
-bool isSent(AttemptEnd outcome);
-bool mayHaveRun(AttemptEnd outcome);
+bool isSent(AttemptResult outcome);
+bool mayHaveRun(AttemptResult outcome);
 
 // The request's path without the query, and its host without the port.
 std::string_view pathOf(const HttpRequest &request);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -19,7 +19,7 @@
 CallPolicy callPolicy()
 {
     const char *names = std::getenv("GALENAHILL_BENCH_WITHOUT");
-    return CallPolicy::withoutDecisions(names == nullptr ? "" : names);
+    return CallPolicy::withToggled(names == nullptr ? "" : names);
 }
 
 int runNode(const NodeSettings &settings)
--- a/src/daemon/memberdirectory.cpp
+++ b/src/daemon/memberdirectory.cpp
@@ -63,7 +63,7 @@
     } catch (const nlohmann::json::exception &error) {
         return failure(ErrorKind::Corrupt, std::string("contact: ") + error.what() + "; it was written by a node of another version or by another program");
     }
-    if (!isPlausible(record)) {
+    if (!isValidRecord(record)) {
         return failure(ErrorKind::Corrupt, "contact: no name or address; remove the document from the store");
     }
     return record;
@@ -128,12 +128,12 @@
     asio::co_spawn(d->options.context, d->run(), asio::detached);
 }
 
-bool MemberDirectory::consulted() const
+bool MemberDirectory::initialLookupDone() const
 {
     return d->listRead || d->failures >= AttemptsWithoutStore;
 }
 
-asio::awaitable<void> MemberDirectory::withdraw()
+asio::awaitable<void> MemberDirectory::deregister()
 {
     const auto keep = d;
     const auto removed = co_await keep->options.store.remove(Kind, keep->options.self.name.value());
@@ -154,7 +154,7 @@
     co_await join();
     while (!options.stopping) {
         co_await sleepFor(options.context, options.sweepInterval);
-        const bool due = !options.stopping && options.sweeps();
+        const bool due = !options.stopping && options.shouldSweep();
         if (due) {
             co_await sweep();
         }
@@ -174,7 +174,7 @@
     for (const auto &document : documents->documents) {
         const auto record = contactFromDocument(document.content);
         const bool own = record && record->dataCentre == options.self.dataCentre;
-        if (!own || record->name == options.self.name || options.known(record->name)) {
+        if (!own || record->name == options.self.name || options.isKnown(record->name)) {
             continue;
         }
         // A contact that has just been rewritten has another version and stays.
@@ -198,11 +198,11 @@
             co_await registerSelf();
             // If the list names running members, a new node needs no second list;
             // otherwise the next list is read after the write.
-            listReadAfterRegistration = registered && !options.others().empty();
+            listReadAfterRegistration = registered && !options.peerAddresses().empty();
         }
         co_await querySome(found);
         const bool complete = registered && listReadAfterRegistration;
-        if (complete && !options.others().empty()) {
+        if (complete && !options.peerAddresses().empty()) {
             break;
         }
         co_await sleepFor(options.context, complete ? LoneMemberInterval : RetryInterval);
@@ -221,7 +221,7 @@
 asio::awaitable<std::vector<Endpoint>> MemberDirectory::Private::contacts()
 {
     // Members that found this node while the store was unavailable know the rest.
-    std::vector<Endpoint> found = options.others();
+    std::vector<Endpoint> found = options.peerAddresses();
     found.insert(found.end(), options.seeds.begin(), options.seeds.end());
     const auto documents = co_await options.store.list(Kind);
     if (!documents) {
@@ -243,7 +243,7 @@
         }
     }
     listReadAfterRegistration = registered;
-    options.listed(members);
+    options.storedMembersReceived(members);
     co_return chooseContacts(std::move(found));
 }
 
@@ -282,7 +282,7 @@
         options.log(LogLevel::Warning, "members-refused", {{"from", toString(contact)}, {"reason", members.error().message}});
         co_return;
     }
-    options.found(*members);
+    options.membersReceived(*members);
 }
 
 }
--- a/src/daemon/memberdirectory.h
+++ b/src/daemon/memberdirectory.h
@@ -32,14 +32,14 @@
         std::uint64_t seed = 1;
         Logger log;
         // Called with the members that the store lists, and with those that a contact lists.
-        std::function<void(const std::vector<MemberRecord> &)> listed;
-        std::function<void(const std::vector<MemberRecord> &)> found;
+        std::function<void(const std::vector<MemberRecord> &)> storedMembersReceived;
+        std::function<void(const std::vector<MemberRecord> &)> membersReceived;
         // Control addresses of the other live members.
-        std::function<std::vector<Endpoint>()> others;
+        std::function<std::vector<Endpoint>()> peerAddresses;
         // Whether a member of that name is known, even one that was declared gone, and
         // whether this node is the one of its data centre that removes stale contacts.
-        std::function<bool(const NodeName &)> known;
-        std::function<bool()> sweeps;
+        std::function<bool(const NodeName &)> isKnown;
+        std::function<bool()> shouldSweep;
         // Time between two sweeps of stale contacts. Gone members are remembered for two
         // hours, and one list an hour in each data centre costs little.
         Milliseconds sweepInterval{3600000};
@@ -52,10 +52,10 @@
     void start();
 
     // Whether the store's contacts were listed, or the store has been unavailable for some time.
-    bool consulted() const;
+    bool initialLookupDone() const;
 
     // Removes this node's contact from the store.
-    asio::awaitable<void> withdraw();
+    asio::awaitable<void> deregister();
 
 private:
     class Private;
--- a/src/daemon/metricstext.cpp
+++ b/src/daemon/metricstext.cpp
@@ -10,12 +10,12 @@
 void appendRoute(std::string &text, const RouteReport &report)
 {
     const auto &route = report.route.value();
-    for (std::size_t end = 0; end < CallEndKinds; ++end) {
+    for (std::size_t end = 0; end < CallResultKinds; ++end) {
         text += fmt::format("galenahill_calls_total{{route=\"{}\",type=\"{}\",end=\"{}\"}} {}\n",
             route,
             toString(report.type),
-            toString(static_cast<CallEnd>(end)),
-            report.ends[end]);
+            toString(static_cast<CallResult>(end)),
+            report.results[end]);
     }
 }
 
@@ -23,7 +23,7 @@
 {
     const auto &route = report.route.value();
     std::uint64_t calls = 0;
-    for (const auto count : report.ends) {
+    for (const auto count : report.results) {
         calls += count;
     }
     text += fmt::format("galenahill_call_milliseconds{{route=\"{}\",quantile=\"0.5\"}} {:.3f}\n", route, report.latencyP50);
--- a/src/daemon/node.cpp
+++ b/src/daemon/node.cpp
@@ -6,7 +6,7 @@
 #include "adapters/http/httpserver.h"
 #include "adapters/platform/budgetedstore.h"
 #include "adapters/udp/datagramsocket.h"
-#include "daemon/contactkeeper.h"
+#include "daemon/contactmaintainer.h"
 #include "daemon/controlactor.h"
 #include "daemon/controlmessages.h"
 #include "daemon/controlservice.h"
@@ -97,12 +97,12 @@
         , store(std::move(options.openStore))
         , repository({.store = store,
               .inForce = [this] { return state->revisions.current(); },
-              .highestKnown = [this] { return Revision(state->highestKnown); },
+              .highestKnownRevision = [this] { return Revision(state->highestKnownRevision); },
               .now = wallClockSeconds})
         , budgetedStore({.store = store, .budget = {.seed = self.incarnation ^ std::hash<std::string>{}(self.address)}, .stopping = state->stopping})
         , backgroundRepository({.store = budgetedStore,
               .inForce = [this] { return state->revisions.current(); },
-              .highestKnown = [this] { return Revision(state->highestKnown); },
+              .highestKnownRevision = [this] { return Revision(state->highestKnownRevision); },
               .now = wallClockSeconds})
         , headWatcher(headWatcherOptions())
         , links(settings.linkFaults ? std::make_unique<LinkFilter>(self.incarnation) : nullptr)
@@ -123,7 +123,7 @@
               .exchange = exchange,
               .counters = [this] { return counters(); },
               .metrics = metrics,
-              .accepted = [this](auto revision) { tell(RevisionReceived{std::move(revision)}); }})
+              .revisionAccepted = [this](auto revision) { tell(RevisionReceived{std::move(revision)}); }})
         , controlServer(controlContext,
               {.endpoint = self.control(), .handler = [this](HttpRequest request, ServerConnection &) { return handleControl(std::move(request)); }})
         , dataClient(dataContext, clientOptions(MaxCallBodyBytes))
@@ -133,7 +133,7 @@
               .seed = self.incarnation,
               .policy = options.calls,
               .callEnded
-              = [this](const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); }})
+              = [this](const RouteDefinition &route, CallResult end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); }})
         , sidecar({.context = dataContext,
               .client = dataClient,
               .service = settings.service,
@@ -147,7 +147,7 @@
                   .handler = [this](HttpRequest request, ServerConnection &connection) { return ingress.handle(std::move(request), connection); },
                   .limits = {.bodyBytes = MaxCallBodyBytes},
                   .streamBodies = true,
-                  .mayRunAhead = [this](const HttpRequest &request) { return ingress.mayRunAhead(request); }})
+                  .mayPipeline = [this](const HttpRequest &request) { return ingress.mayPipeline(request); }})
         , sidecarServer(dataContext,
               {.endpoint = self.sidecar(),
                   .handler = [this](HttpRequest request, ServerConnection &connection) { return sidecar.handle(std::move(request), connection); },
@@ -198,7 +198,7 @@
     Result<void> listen();
     void startActors();
     FleetControlOptions controlOptions();
-    ContactKeeper::Options contactKeeperOptions();
+    ContactMaintainer::Options contactKeeperOptions();
     HeadWatcher::Options headWatcherOptions();
     bool joinThrough(const Endpoint &contact);
     asio::awaitable<void> pull(Endpoint peer);
@@ -297,7 +297,7 @@
             sidecar.setView(view);
         });
     };
-    options.revisionTaken = [this](const auto &revision) { asio::post(controlContext, [this, revision] { exchange.remember(*revision); }); };
+    options.revisionAdopted = [this](const auto &revision) { asio::post(controlContext, [this, revision] { exchange.addBase(*revision); }); };
     options.pull = [this](const Endpoint &peer) { asio::co_spawn(controlContext, pull(peer), asio::detached); };
     return options;
 }
@@ -313,7 +313,7 @@
         .storeFailed = [this] { tell(StoreFailed{}); }};
 }
 
-ContactKeeper::Options Node::Private::contactKeeperOptions()
+ContactMaintainer::Options Node::Private::contactKeeperOptions()
 {
     return {.store = budgetedStore,
         .repository = repository,
@@ -364,7 +364,7 @@
     system = std::make_unique<caf::actor_system>(systemConfig);
     control = system->spawn(controlActor, controlOptions());
     system->spawn<caf::detached>([this](caf::blocking_actor *) { headWatcher.run(); });
-    system->spawn<caf::detached>([this](caf::blocking_actor *) { ContactKeeper(contactKeeperOptions()).run(); });
+    system->spawn<caf::detached>([this](caf::blocking_actor *) { ContactMaintainer(contactKeeperOptions()).run(); });
 }
 
 Node::Node(Options options)
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -19,7 +19,7 @@
     {
         NodeSettings settings;
         // Opens the platform's store through the given client.
-        DocumentObjectStore::Open openStore;
+        DocumentObjectStore::StoreFactory openStore;
         Logger log;
         CallPolicy calls;
     };
--- a/src/daemon/nodestate.h
+++ b/src/daemon/nodestate.h
@@ -17,13 +17,13 @@
     RevisionHolder revisions;
 
     // Highest revision that any member has advertised as in force.
-    std::atomic<std::uint64_t> highestKnown = 0;
+    std::atomic<std::uint64_t> highestKnownRevision = 0;
 
     // Whether this node is one of the members that watch the store's head.
     std::atomic<bool> watchesStore = false;
 
     // Whether this node maintains the contact list of its data centre.
-    std::atomic<bool> keepsContacts = false;
+    std::atomic<bool> maintainsContacts = false;
 
     std::atomic<bool> stopping = false;
 
--- a/src/daemon/operatormethods.cpp
+++ b/src/daemon/operatormethods.cpp
@@ -129,13 +129,13 @@
     if (params.contains("begun_at")) {
         request.begunAt = Revision(params.at("begun_at").get<std::uint64_t>());
     }
-    request.repeated = params.value("repeated", false);
+    request.isRetry = params.value("repeated", false);
     const auto outcome = options.repository.apply(request);
     if (!outcome) {
         return tl::unexpected(outcome.error());
     }
     if (outcome->accepted) {
-        options.accepted(outcome->accepted);
+        options.revisionAccepted(outcome->accepted);
     }
     json result = {{"revision", outcome->revision.value()}, {"changed", outcome->changed}, {"left_out", json::array()}};
     for (const auto &change : outcome->leftOut) {
--- a/src/daemon/operatormethods.h
+++ b/src/daemon/operatormethods.h
@@ -18,7 +18,7 @@
     {
         std::shared_ptr<NodeState> state;
         ConfigRepository &repository;
-        std::function<void(std::shared_ptr<const ConfigRevision>)> accepted;
+        std::function<void(std::shared_ptr<const ConfigRevision>)> revisionAccepted;
     };
 
     explicit OperatorMethods(Options options);
--- a/src/daemon/platformnode.cpp
+++ b/src/daemon/platformnode.cpp
@@ -22,16 +22,16 @@
 // Time between two checks for idle connections, which are closed to free their memory.
 constexpr Milliseconds TrimInterval{1000};
 
-const char *eventName(CallEnd end)
+const char *eventName(CallResult end)
 {
     switch (end) {
-    case CallEnd::Answered:
+    case CallResult::Answered:
         return "call-answered";
-    case CallEnd::TargetFailed:
+    case CallResult::TargetFailed:
         return "call-failed";
-    case CallEnd::NotRun:
+    case CallResult::NotRun:
         return "call-refused";
-    case CallEnd::OutcomeUnknown:
+    case CallResult::OutcomeUnknown:
         return "call-unknown";
     }
     return "call-unknown";
@@ -61,7 +61,7 @@
     if (const auto opened = d->datagrams.open(); !opened) {
         return opened;
     }
-    d->follower.start();
+    d->configWatcher.start();
     d->directory.start();
     d->rollouts.start();
     asio::co_spawn(d->context, d->tick(), asio::detached);
@@ -87,7 +87,7 @@
         applyVersionRules();
         if (ready() != wasReady) {
             wasReady = ready();
-            log(LogLevel::Info, "readiness", {{"ready", wasReady}, {"revision", state->revisions.revision().value()}, {"others", fleet.others()}});
+            log(LogLevel::Info, "readiness", {{"ready", wasReady}, {"revision", state->revisions.revision().value()}, {"others", fleet.peerCount()}});
         }
         ErrorCode ignored;
         ticker.expires_after(FleetControl::TickInterval);
@@ -98,16 +98,16 @@
 void PlatformNode::Private::targetChanged(const TargetAnnouncement &target, MemberState newState)
 {
     targetState = newState;
-    targetWithheld = newState == MemberState::Ready && !rollouts.informed();
-    rollouts.setOwnVersion(target.version, target.warmUpLeft);
+    targetWithheld = newState == MemberState::Ready && !rollouts.isSynced();
+    rollouts.setLocalVersion(target.version, target.warmUpRemaining);
     const auto published = targetWithheld ? MemberState::Starting : newState;
-    sidecar.announced(target, published);
+    sidecar.targetAnnounced(target, published);
     fleet.targetStateChanged(published, target.version);
 }
 
 void PlatformNode::Private::publishWithheldTarget()
 {
-    if (const auto &target = targetService.target(); target && targetWithheld && rollouts.informed()) {
+    if (const auto &target = targetService.target(); target && targetWithheld && rollouts.isSynced()) {
         targetChanged(*target, targetState);
     }
 }
@@ -116,7 +116,7 @@
 // forbid.
 void PlatformNode::Private::applyVersionRules()
 {
-    sidecar.setVersionRule(rollouts.ownRule());
+    sidecar.setVersionRule(rollouts.localRule());
     fleet.setVersionRules(rollouts.rules());
 }
 
@@ -131,9 +131,9 @@
 
 void PlatformNode::Private::checkClock()
 {
-    const auto step = clockWatch.observe(std::chrono::system_clock::now(), Clock::now());
+    const auto step = clockStepDetector.observe(std::chrono::system_clock::now(), Clock::now());
     if (step.count() != 0) {
-        log(LogLevel::Warning, "clock-stepped", {{"step_ms", step.count()}, {"steps", clockWatch.steps()}});
+        log(LogLevel::Warning, "clock-stepped", {{"step_ms", step.count()}, {"steps", clockStepDetector.steps()}});
     }
 }
 
@@ -154,7 +154,7 @@
 bool PlatformNode::Private::ready() const
 {
     const bool configured = state->revisions.revision() > Revision();
-    return !stopping && configured && fleet.open() && directory.consulted();
+    return !stopping && configured && fleet.isReady() && directory.initialLookupDone();
 }
 
 asio::awaitable<HttpResponse> PlatformNode::Private::answerReadiness()
@@ -175,7 +175,7 @@
     constexpr const char *Labels[] = {"stage=\"whole\"", "stage=\"line\"", "stage=\"body\"", "stage=\"target\""};
     std::string text = "# TYPE galenahill_stage_milliseconds histogram\n";
     for (std::size_t stage = 0; stage < stages.size(); ++stage) {
-        text += stages[stage].text("galenahill_stage_milliseconds", Labels[stage]);
+        text += stages[stage].prometheusText("galenahill_stage_milliseconds", Labels[stage]);
     }
     return text;
 }
@@ -183,18 +183,18 @@
 NodeGauges PlatformNode::Private::gauges() const
 {
     return {{"revision_in_force", static_cast<double>(state->revisions.revision().value())},
-        {"members_live", static_cast<double>(fleet.others() + 1)},
+        {"members_live", static_cast<double>(fleet.peerCount() + 1)},
         {"ready", ready() ? 1 : 0},
         {"target_ready", targetService.state() == MemberState::Ready ? 1 : 0},
         {"target_calls_running", sidecar.inFlight()},
-        {"revisions_refused", static_cast<double>(follower.refused())},
+        {"revisions_refused", static_cast<double>(configWatcher.rejectedRevisions())},
         {"store_calls", static_cast<double>(store->calls())},
         {"calls_gave_way", static_cast<double>(ingress.shedCalls())},
         {"call_retries", static_cast<double>(ingress.retries())},
         {"load_targets_known", static_cast<double>(loads.knownTargets())},
-        {"load_oldest_ms", static_cast<double>(loads.oldestTarget(Clock::now()).count())},
+        {"load_oldest_ms", static_cast<double>(loads.oldestTargetAge(Clock::now()).count())},
         {"load_reports_dropped", static_cast<double>(loads.dropped())},
-        {"clock_steps", static_cast<double>(clockWatch.steps())},
+        {"clock_steps", static_cast<double>(clockStepDetector.steps())},
         {"datagram_bytes", static_cast<double>(datagrams.bytes())},
         {"client_bytes", static_cast<double>(client.bytes())}};
 }
@@ -234,10 +234,10 @@
 
 void PlatformNode::Private::logCall(const CallReport &call)
 {
-    stageEnded(CallStage::Whole, call.latency);
-    const bool plain = call.end == CallEnd::Answered && call.asked <= 1 && call.version.value().empty();
+    stageEnded(CallStage::Total, call.latency);
+    const bool plain = call.result == CallResult::Answered && call.offerCount <= 1 && call.version.value().empty();
     log(plain ? LogLevel::Debug : LogLevel::Info,
-        call.cancelled ? "call-cancelled" : eventName(call.end),
+        call.cancelled ? "call-cancelled" : eventName(call.result),
         {{"id", call.id.value()},
             {"route", call.route.value()},
             {"type", toString(call.type)},
@@ -246,12 +246,12 @@
             {"revision", call.revision.value()},
             {"status", call.status},
             {"target", call.target.value()},
-            {"asked", call.asked},
-            {"sent", call.sent},
+            {"asked", call.offerCount},
+            {"sent", call.attemptsSent},
             {"ms", static_cast<double>(call.latency.count()) / 1000},
             {"left_ms", call.timeLeft.count()},
-            {"told_wait_ms", call.toldWait ? call.toldWait->count() : -1},
-            {"for_running_call", call.forRunningCall},
+            {"told_wait_ms", call.reportedWait ? call.reportedWait->count() : -1},
+            {"for_running_call", call.hasRunningParent},
             {"caller", call.caller},
             {"reason", call.reason}});
 }
@@ -280,14 +280,14 @@
     const auto begin = Clock::now();
     stopping = true;
     log(LogLevel::Info, "stopping", {{"in_flight", inFlight()}});
-    ingress.stop();
-    ingressServer.closeAfterAnswers();
-    asio::co_spawn(context, directory.withdraw(), asio::detached);
+    ingress.prepareToStop();
+    ingressServer.closeAfterResponses();
+    asio::co_spawn(context, directory.deregister(), asio::detached);
     co_await sleepFor(context, LeaveDelay);
     fleet.leave();
     co_await sleepFor(context, SidecarDrainDelay - LeaveDelay);
     sidecar.drain();
-    sidecarServer.closeAfterAnswers();
+    sidecarServer.closeAfterResponses();
     co_await sleepFor(context, IngressDrainDelay - SidecarDrainDelay);
     // Callers that have not noticed the stop would keep the node busy, and their last
     // calls would be cut off at the end of the stop timeout.
--- a/src/daemon/platformnode.h
+++ b/src/daemon/platformnode.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "adapters/platform/documentstore.h"
-#include "core/calls/calldialect.h"
+#include "core/calls/callheadernames.h"
 #include "core/config/platformnodesettings.h"
-#include "core/rollouts/rolloutcontrol.h"
-#include "daemon/configfollower.h"
+#include "core/rollouts/rolloutcontroller.h"
+#include "daemon/configwatcher.h"
 #include "daemon/targetservice.h"
 #include "ports/logger.h"
 
@@ -23,7 +23,7 @@
     struct Options
     {
         PlatformNodeSettings settings;
-        CallDialect dialect;
+        CallHeaderNames headerNames;
         // Kind and name of the configuration document in the store, and its decoder.
         std::string configKind;
         std::string configName;
--- a/src/daemon/platformnode_p.h
+++ b/src/daemon/platformnode_p.h
@@ -4,7 +4,7 @@
 #include "adapters/http/httpserver.h"
 #include "adapters/udp/datagramsocket.h"
 #include "core/calls/latencyhistogram.h"
-#include "core/fleet/clockwatch.h"
+#include "core/fleet/clockstepdetector.h"
 #include "daemon/fleetcontrol.h"
 #include "daemon/ingress.h"
 #include "daemon/memberdirectory.h"
@@ -32,7 +32,7 @@
     const TimePoint startTime = Clock::now();
     bool stopping = false;
     bool wasReady = false;
-    ClockWatch clockWatch;
+    ClockStepDetector clockStepDetector;
     TimePoint lastTrim;
     std::shared_ptr<NodeState> state = std::make_shared<NodeState>();
     ServiceLevelMetrics metrics;
@@ -52,7 +52,7 @@
     bool targetWithheld = false;
     RolloutService rollouts;
     FleetControl fleet;
-    ConfigFollower follower;
+    ConfigWatcher configWatcher;
     MemberDirectory directory;
     HttpServer ingressServer;
     HttpServer sidecarServer;
@@ -78,7 +78,7 @@
     void publishWithheldTarget();
     void applyVersionRules();
     void applyCallerLimits(const CallerLimits &limits);
-    ConfigFollower::Options followerOptions();
+    ConfigWatcher::Options configWatcherOptions();
     MemberDirectory::Options directoryOptions();
     RetryBudget::Options retryBudget(std::size_t members) const;
 
--- a/src/daemon/platformnodewiring.cpp
+++ b/src/daemon/platformnodewiring.cpp
@@ -128,7 +128,7 @@
     , targetService(targetOptions())
     , rollouts(rolloutOptions())
     , fleet(fleetOptions())
-    , follower(followerOptions())
+    , configWatcher(configWatcherOptions())
     , directory(directoryOptions())
     , ingressServer(context, ingressServerOptions())
     , sidecarServer(context, sidecarServerOptions())
@@ -167,8 +167,8 @@
     auto serverOptions = callServerOptions(settings.ingress, [this](auto request, auto &connection) { return ingress.handle(std::move(request), connection); });
     // A buffered body can be sent to another target after one that rejected it.
     serverOptions.bufferedBodyBytes = BufferedBodyBytes;
-    serverOptions.heldBodyBytes = AllBufferedBodiesBytes;
-    serverOptions.mayRunAhead = [this](const HttpRequest &request) { return ingress.mayRunAhead(request); };
+    serverOptions.totalBufferedBytes = AllBufferedBodiesBytes;
+    serverOptions.mayPipeline = [this](const HttpRequest &request) { return ingress.mayPipeline(request); };
     return serverOptions;
 }
 
@@ -191,7 +191,7 @@
             if (bundle.files.size() != 1) {
                 return failure(ErrorKind::Corrupt, "revision: expected exactly one document; check that all nodes run the same version");
             }
-            return revisionOf(std::move(bundle.files.front().text), options.decodeConfig);
+            return makeRevision(std::move(bundle.files.front().text), options.decodeConfig);
         }};
 }
 
@@ -204,8 +204,8 @@
 
 RetryBudget::Options PlatformNode::Private::retryBudget(std::size_t members) const
 {
-    const auto slack = settings.repeatSlack * RetryBudgetShare / static_cast<double>(std::max<std::size_t>(members, 1));
-    return {.perCall = settings.repeatShare * RetryBudgetShare, .most = std::max(MinRetrySlack, slack)};
+    const auto slack = settings.retrySlack * RetryBudgetShare / static_cast<double>(std::max<std::size_t>(members, 1));
+    return {.tokensPerCall = settings.retryShare * RetryBudgetShare, .maxTokens = std::max(MinRetrySlack, slack)};
 }
 
 Ingress::Options PlatformNode::Private::ingressOptions()
@@ -215,15 +215,15 @@
         .dataCentre = settings.dataCentre,
         .seed = seed,
         .policy = callPolicy(),
-        .dialect = options.dialect,
+        .headerNames = options.headerNames,
         .callerService = settings.service,
-        .retries = retryBudget(1),
-        .ownSidecar = settings.sidecar,
-        .askOwnSidecar = [this](HttpRequest request, ServerConnection &connection) { return sidecar.handle(std::move(request), connection); },
+        .retryBudget = retryBudget(1),
+        .localSidecar = settings.sidecar,
+        .callLocalSidecar = [this](HttpRequest request, ServerConnection &connection) { return sidecar.handle(std::move(request), connection); },
         .runningCall = [this](std::string_view id) { return sidecar.running(id); },
-        .runCalled = [this](const RouteName &route, const ServiceName &service) { sidecar.runCalled(route, service); },
+        .nestedCallMade = [this](const RouteName &route, const ServiceName &service) { sidecar.nestedCallMade(route, service); },
         .callEnded
-        = [this](const RouteDefinition &route, CallEnd end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); },
+        = [this](const RouteDefinition &route, CallResult end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); },
         .callReported = [this](const CallReport &call) { logCall(call); }};
 }
 
@@ -236,11 +236,11 @@
         .healthPath = {},
         .log = log,
         .policy = callPolicy(),
-        .dialect = options.dialect,
+        .headerNames = options.headerNames,
         .link = {.bytesPerSecond = std::uint64_t(settings.linkMbps) * BytesPerMegabit},
         .stateChanged = [](MemberState) {},
-        .targetLost = [this] { targetService.targetLost(); },
-        .targetEnded = [this](const RouteName &route, TargetEnd end, std::chrono::microseconds time) { rollouts.callEnded(route, end, time); },
+        .targetUnreachable = [this] { targetService.targetUnreachable(); },
+        .callEnded = [this](const RouteName &route, TargetResult end, std::chrono::microseconds time) { rollouts.callEnded(route, end, time); },
         .stageEnded = [this](CallStage stage, std::chrono::microseconds time) { stageEnded(stage, time); }};
 }
 
@@ -251,10 +251,10 @@
         .registration = {.address = settings.target,
             .service = settings.service,
             .firstStart = settings.firstStart,
-            .silence = MissedHeartbeats * settings.heartbeatInterval + HeartbeatMargin},
+            .heartbeatTimeout = MissedHeartbeats * settings.heartbeatInterval + HeartbeatMargin},
         .decode = options.decodeTarget,
         .healthPath = [this] { return healthPath(); },
-        .targetIdField = options.dialect.targetId,
+        .targetIdField = options.headerNames.targetId,
         .log = log,
         .changed = [this](const TargetAnnouncement &target, MemberState newState) { targetChanged(target, newState); }};
 }
@@ -296,11 +296,11 @@
             applyCallerLimits(view->config->snapshot->callerLimits());
         }
     };
-    fleetOptions.revisionTaken = [this](const auto &revision) { exchange.remember(*revision); };
+    fleetOptions.revisionAdopted = [this](const auto &revision) { exchange.addBase(*revision); };
     fleetOptions.pull = [this](const Endpoint &peer) { asio::co_spawn(context, pull(peer), asio::detached); };
-    fleetOptions.watcherPatience = WatchGracePeriod;
+    fleetOptions.watchGracePeriod = WatchGracePeriod;
     fleetOptions.watchers = WatchersPerDataCentre;
-    fleetOptions.reviveInterval = ReconnectInterval;
+    fleetOptions.reconnectInterval = ReconnectInterval;
     return fleetOptions;
 }
 
@@ -309,11 +309,11 @@
     return {.self = self,
         .seed = seed,
         .interval = settings.loadReportInterval,
-        .ownLoad = [this] { return sidecar.load(); },
+        .localTargetLoad = [this] { return sidecar.load(); },
         .send = [this](const Endpoint &to, const LoadReport &report) { datagrams.send(to, encode(report)); },
-        .targetLoad
+        .targetLoadReceived
         = [this](const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed) { ingress.targetLoadReceived(target, load, wait, observed); },
-        .poolLoad = [this](const PoolReport &pool, TimePoint observed) { ingress.poolLoadReceived(pool, observed); }};
+        .poolLoadReceived = [this](const PoolReport &pool, TimePoint observed) { ingress.poolLoadReceived(pool, observed); }};
 }
 
 // Other nodes forward calls with header fields of their own beside the caller's, and may
@@ -322,11 +322,11 @@
 {
     auto effectiveLimits = limits;
     effectiveLimits.headerBytes = std::min(limits.headerBytes, MaxHeaderBytes);
-    ingressServer.limitPeers(effectiveLimits);
-    sidecarServer.limitPeers({.headerBytes = effectiveLimits.headerBytes + ForwardedFieldBytes, .bodyBytes = MaxCallBodyBytes});
+    ingressServer.setLimits(effectiveLimits);
+    sidecarServer.setLimits({.headerBytes = effectiveLimits.headerBytes + ForwardedFieldBytes, .bodyBytes = MaxCallBodyBytes});
 }
 
-ConfigFollower::Options PlatformNode::Private::followerOptions()
+ConfigWatcher::Options PlatformNode::Private::configWatcherOptions()
 {
     return {.context = context,
         .store = *store,
@@ -335,10 +335,10 @@
         .decode = options.decodeConfig,
         .seed = seed,
         .log = log,
-        .found = [this](std::shared_ptr<const ConfigRevision> revision) { fleet.revisionReceived(revision); },
+        .revisionFound = [this](std::shared_ptr<const ConfigRevision> revision) { fleet.revisionReceived(revision); },
         .storeAnswered = [this](Revision revision) { fleet.storeAnswered(revision); },
         .storeFailed = [this] { fleet.storeFailed(); },
-        .watches = [this] { return state->watchesStore && Clock::now() - startTime >= WatchStartDelay; },
+        .shouldWatch = [this] { return state->watchesStore && Clock::now() - startTime >= WatchStartDelay; },
         .stopping = stopping};
 }
 
@@ -352,11 +352,11 @@
         .seeds = settings.seeds,
         .seed = seed,
         .log = log,
-        .listed = [this](const std::vector<MemberRecord> &members) { fleet.storedMembersReceived(members); },
-        .found = [this](const std::vector<MemberRecord> &members) { fleet.membersReceived(members); },
-        .others = [this] { return fleet.otherAddresses(); },
-        .known = [this](const NodeName &member) { return fleet.knows(member); },
-        .sweeps = [this] { return state->keepsContacts.load(); },
+        .storedMembersReceived = [this](const std::vector<MemberRecord> &members) { fleet.storedMembersReceived(members); },
+        .membersReceived = [this](const std::vector<MemberRecord> &members) { fleet.membersReceived(members); },
+        .peerAddresses = [this] { return fleet.peerAddresses(); },
+        .isKnown = [this](const NodeName &member) { return fleet.knows(member); },
+        .shouldSweep = [this] { return state->maintainsContacts.load(); },
         .stopping = stopping};
 }
 
--- a/src/daemon/revisionexchange.cpp
+++ b/src/daemon/revisionexchange.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-void RevisionExchange::remember(const ConfigRevision &revision)
+void RevisionExchange::addBase(const ConfigRevision &revision)
 {
     m_bases.add(revision.digest, encode(revision.bundle));
 }
--- a/src/daemon/revisionexchange.h
+++ b/src/daemon/revisionexchange.h
@@ -33,7 +33,7 @@
     explicit RevisionExchange(Options options);
 
     // Keeps a revision that came into force as a base.
-    void remember(const ConfigRevision &revision);
+    void addBase(const ConfigRevision &revision);
 
     // Responds to a peer that holds the base of that digest, or no base.
     HttpResponse serve(const std::string &baseDigest);
--- a/src/daemon/rolloutservice.cpp
+++ b/src/daemon/rolloutservice.cpp
@@ -34,7 +34,7 @@
               .seed = options.seed + 1,
               .log = options.log,
               .firstList = options.firstStart ? std::nullopt : std::optional(Freshness::MayBeStale),
-              .watches = [this] { return control.isJudge(); },
+              .shouldWatch = [this] { return control.isEvaluator(); },
               .received = [this](const DocumentSet &documents, bool all) { return received(documents, all); },
               .failed = [this] { synced = synced || ++failures >= MaxStoreFailures; },
               .stopping = options.stopping})
@@ -45,7 +45,7 @@
     bool synced;
     int failures = 0;
     TimePoint lastProgress;
-    RolloutControl control;
+    RolloutController control;
     DocumentWatcher watcher;
 
     void changed(const RolloutRecord &record, const std::string &why);
@@ -74,12 +74,12 @@
 {
     options.log(LogLevel::Info,
         "rollout-stage",
-        {{"service", record.order.service.value()},
-            {"version", record.order.version.value()},
+        {{"service", record.spec.service.value()},
+            {"version", record.spec.version.value()},
             {"stage", toString(record.stage)},
             {"age_ms", record.ageMs},
-            {"duration_ms", record.order.duration.count()},
-            {"store_version", record.seen.value()},
+            {"duration_ms", record.spec.duration.count()},
+            {"store_version", record.storeVersion.value()},
             {"why", why},
             {"reason", record.reason}});
     options.rulesChanged();
@@ -92,13 +92,13 @@
     for (const auto &document : documents.documents) {
         services.emplace_back(document.name);
         if (document.removed) {
-            control.orderRemoved(services.back(), Clock::now());
+            control.specRemoved(services.back(), Clock::now());
         } else {
             processDocument(document, all);
         }
     }
     if (all) {
-        control.ordersListed(services, documents.version, Clock::now());
+        control.specsListed(services, documents.version, Clock::now());
     }
     return false;
 }
@@ -110,15 +110,15 @@
         options.log(LogLevel::Error, "rollout-refused", {{"name", document.name}, {"reason", stored.error().message}});
         return;
     }
-    const RolloutRecord record{.order = stored->order, .seen = stored->version};
-    if (!isPlausible(record) || document.name != stored->order.service.value()) {
+    const RolloutRecord record{.spec = stored->spec, .storeVersion = stored->version};
+    if (!isValidRecord(record) || document.name != stored->spec.service.value()) {
         options.log(LogLevel::Error,
             "rollout-refused",
             {{"name", document.name},
                 {"reason", "a name is too long, the document's name is not that of its service, or duration-s is not in the range from 1 to 86400"}});
         return;
     }
-    control.orderRead(*stored, listed, Clock::now());
+    control.specRead(*stored, listed, Clock::now());
 }
 
 void RolloutService::tick()
@@ -134,20 +134,20 @@
 {
     const auto keep = shared_from_this();
     const auto status = options.encodeStatus(write);
-    const auto written = co_await options.store.writeStatus(options.kind, write.order.service.value(), status, write.expected);
+    const auto written = co_await options.store.writeStatus(options.kind, write.spec.service.value(), status, write.expected);
     options.log(written ? LogLevel::Info : LogLevel::Warning,
         "rollout-written",
-        {{"service", write.order.service.value()},
-            {"version", write.order.version.value()},
+        {{"service", write.spec.service.value()},
+            {"version", write.spec.version.value()},
             {"stage", toString(write.stage)},
             {"store_version", write.expected.value()},
             {"done", written.has_value()},
             {"reason", written ? write.reason : written.error().message}});
     if (written) {
-        control.written(write, *written, Clock::now());
+        control.writeCompleted(write, *written, Clock::now());
     } else if (written.error().kind != ErrorKind::Unavailable) {
         // Either another node wrote first, or the response was lost after the write.
-        co_await reread(write.order.service);
+        co_await reread(write.spec.service);
     }
 }
 
@@ -157,14 +157,14 @@
     if (document) {
         processDocument(*document, false);
     } else if (document.error().kind == ErrorKind::NotFound) {
-        control.orderRemoved(service, Clock::now());
+        control.specRemoved(service, Clock::now());
     }
 }
 
 void RolloutService::Private::logProgress()
 {
     const auto now = Clock::now();
-    if (!control.isJudge() || now - lastProgress < ProgressInterval) {
+    if (!control.isEvaluator() || now - lastProgress < ProgressInterval) {
         return;
     }
     lastProgress = now;
@@ -174,8 +174,8 @@
         }
         options.log(LogLevel::Info,
             "rollout-progress",
-            {{"service", status.record.order.service.value()},
-                {"version", status.record.order.version.value()},
+            {{"service", status.record.spec.service.value()},
+                {"version", status.record.spec.version.value()},
                 {"stage", toString(status.record.stage)},
                 {"step", status.step.name},
                 {"share", status.step.share},
@@ -194,17 +194,17 @@
     d->control.setMembers(members, Clock::now());
 }
 
-void RolloutService::setOwnVersion(const TargetVersion &version, Milliseconds warmUpLeft)
+void RolloutService::setLocalVersion(const TargetVersion &version, Milliseconds warmUpLeft)
 {
-    d->control.setOwnVersion(version, Clock::now() + warmUpLeft);
+    d->control.setLocalVersion(version, Clock::now() + warmUpLeft);
 }
 
-void RolloutService::callEnded(const RouteName &route, TargetEnd end, std::chrono::microseconds time)
+void RolloutService::callEnded(const RouteName &route, TargetResult end, std::chrono::microseconds time)
 {
     d->control.callEnded(route, end, std::chrono::duration_cast<Milliseconds>(time), Clock::now());
 }
 
-bool RolloutService::informed() const
+bool RolloutService::isSynced() const
 {
     return d->synced;
 }
@@ -214,16 +214,16 @@
     return d->control.rules(Clock::now());
 }
 
-std::optional<VersionRule> RolloutService::ownRule() const
+std::optional<VersionRule> RolloutService::localRule() const
 {
-    return d->control.ownRule(Clock::now());
+    return d->control.localRule(Clock::now());
 }
 
 std::string RolloutService::metricsText() const
 {
     std::string text;
     for (const auto &status : d->control.status(Clock::now())) {
-        const auto labels = fmt::format(R"(service="{}",version="{}")", status.record.order.service.value(), status.record.order.version.value());
+        const auto labels = fmt::format(R"(service="{}",version="{}")", status.record.spec.service.value(), status.record.spec.version.value());
         text += fmt::format("galenahill_rollout_stage{{{}}} {}\n", labels, static_cast<int>(status.record.stage));
         text += fmt::format("galenahill_rollout_share{{{}}} {}\n", labels, status.step.share);
         text += fmt::format("galenahill_rollout_calls{{{}}} {}\n", labels, status.calls);
--- a/src/daemon/rolloutservice.h
+++ b/src/daemon/rolloutservice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/platform/documentstore.h"
-#include "core/rollouts/rolloutcontrol.h"
+#include "core/rollouts/rolloutcontroller.h"
 #include "ports/logger.h"
 
 #include <functional>
@@ -41,15 +41,15 @@
     void tick();
     void reportReceived(const Endpoint &from, const RolloutReport &report);
     void setMembers(const std::vector<MemberRecord> &members);
-    void setOwnVersion(const TargetVersion &version, Milliseconds warmUpLeft);
-    void callEnded(const RouteName &route, TargetEnd end, std::chrono::microseconds time);
+    void setLocalVersion(const TargetVersion &version, Milliseconds warmUpLeft);
+    void callEnded(const RouteName &route, TargetResult end, std::chrono::microseconds time);
 
     // Whether this node has read the specs in the store, or has stopped waiting for the store. Until
     // then its target must not get calls.
-    bool informed() const;
+    bool isSynced() const;
 
     VersionRules rules() const;
-    std::optional<VersionRule> ownRule() const;
+    std::optional<VersionRule> localRule() const;
 
     // Metrics in the Prometheus text format: stage, share, calls and failures by service and version.
     std::string metricsText() const;
--- a/src/daemon/sidecar.cpp
+++ b/src/daemon/sidecar.cpp
@@ -1,11 +1,11 @@
 #include "daemon/sidecar.h"
 
-#include "core/calls/answerverdict.h"
 #include "core/calls/calledservices.h"
 #include "core/calls/callheaders.h"
+#include "core/calls/responseclass.h"
 #include "core/rollouts/versionguard.h"
-#include "daemon/bodyintake.h"
-#include "daemon/slotline.h"
+#include "daemon/bodyreceiver.h"
+#include "daemon/slotqueue.h"
 #include "daemon/targetprobe.h"
 
 #include <unordered_map>
@@ -33,14 +33,14 @@
 public:
     explicit Private(Options given)
         : options(std::move(given))
-        , slots(std::make_shared<SlotLine>(options.context, options.policy))
+        , slots(std::make_shared<SlotQueue>(options.context, options.policy))
         , bodyReceiver(options.context, options.link, *slots)
     {
     }
 
     Options options;
-    std::shared_ptr<SlotLine> slots;
-    BodyIntake bodyReceiver;
+    std::shared_ptr<SlotQueue> slots;
+    BodyReceiver bodyReceiver;
     // Id and slots that the target announced; zero slots if it does not announce itself.
     std::string targetId;
     std::uint32_t announcedSlots = 0;
@@ -58,15 +58,15 @@
     HttpResponse reject(const std::string &reason) const;
     HttpResponse rejectFull(const SlotCall &call) const;
     void logRejection(const SlotCall &call, const std::string &reason) const;
-    OwnLoad load() const;
+    LocalTargetLoad load() const;
     void reportLoad(HttpResponse &response) const;
 
     asio::awaitable<std::optional<HttpResponse>> bufferBody(HttpRequest &request, SlotCall &call, ServerConnection &connection);
     HttpResponse rejectBody(const SlotCall &call, TimePoint arrival) const;
     asio::awaitable<HttpResponse> forward(HttpRequest request, SlotCall call, ServerConnection &connection);
     HttpRequest targetRequest(HttpRequest request, const SlotCall &call) const;
-    AdmissionController::End releaseReasonOf(const HttpResponse &response, AnswerVerdict verdict) const;
-    HttpResponse responseOf(HttpResponse response, AnswerVerdict verdict) const;
+    AdmissionController::ReleaseReason releaseReasonOf(const HttpResponse &response, ResponseClass verdict) const;
+    HttpResponse responseOf(HttpResponse response, ResponseClass verdict) const;
 };
 
 Sidecar::Sidecar(Options options)
@@ -120,7 +120,7 @@
     }
 }
 
-void Sidecar::announced(const TargetAnnouncement &target, MemberState state)
+void Sidecar::targetAnnounced(const TargetAnnouncement &target, MemberState state)
 {
     if (d->targetId != target.id) {
         // Idle connections lead to the target process that was there before.
@@ -135,16 +135,16 @@
     if (state == MemberState::Ready) {
         d->slots->admitWaiting();
     } else {
-        d->slots->refuseWaiting();
-        d->bodyReceiver.refuseWaiting();
+        d->slots->rejectWaiting();
+        d->bodyReceiver.rejectWaiting();
     }
 }
 
 void Sidecar::setVersionRule(const std::optional<VersionRule> &rule)
 {
-    if (d->guard.setRule(rule) && d->guard.isShut()) {
-        d->slots->refuseWaiting();
-        d->bodyReceiver.refuseWaiting();
+    if (d->guard.setRule(rule) && d->guard.rejectsAll()) {
+        d->slots->rejectWaiting();
+        d->bodyReceiver.rejectWaiting();
     }
 }
 
@@ -160,17 +160,17 @@
         return "the target is not ready yet";
     }
     const auto version = request[CallHeaders::Version];
-    if (auto reason = guard.refusal({version.data(), version.size()}); !reason.empty()) {
+    if (auto reason = guard.rejectionReason({version.data(), version.size()}); !reason.empty()) {
         return reason;
     }
     const auto left = timeoutHeader(request);
-    if (!left || Milliseconds(*left) <= slots->fastest()) {
+    if (!left || Milliseconds(*left) <= slots->lowestBaseline()) {
         return "the time left until the call's deadline is shorter than any call takes";
     }
     return {};
 }
 
-OwnLoad Sidecar::Private::load() const
+LocalTargetLoad Sidecar::Private::load() const
 {
     const bool takesCalls = state == MemberState::Ready && !slots->draining();
     const auto wait = options.policy.byUrgency && takesCalls ? slots->expectedWait() : Microseconds(0);
@@ -206,7 +206,7 @@
             {"slots", slots->limit()},
             {"waiting", slots->waiting()},
             {"may_wait", call.terms.mayWait},
-            {"for_running_call", call.terms.forRunningCall},
+            {"for_running_call", call.terms.hasRunningParent},
             {"waited_ms", std::chrono::duration_cast<Milliseconds>(now - call.arrived).count()},
             {"expected_wait_ms", std::chrono::duration_cast<Milliseconds>(slots->expectedWait(call)).count()},
             {"left_ms", std::chrono::duration_cast<Milliseconds>(call.deadline - now).count()}});
@@ -225,15 +225,15 @@
 
 HttpRequest Sidecar::Private::targetRequest(HttpRequest request, const SlotCall &call) const
 {
-    const auto &headerNames = options.dialect;
+    const auto &headerNames = options.headerNames;
     const std::string callId(request[CallHeaders::CallId]);
     const bool retriedAbove = request.find(CallHeaders::RetriedAbove) != request.end();
     stripFields(request, headerNames);
     if (headerNames.requestId.empty()) {
         request.set(CallHeaders::CallId, callId);
     }
-    const auto left = std::chrono::duration_cast<Milliseconds>(call.deadline - call.entered);
-    request.set(headerNames.timeLeft, std::to_string(std::max(left - ResponseMargin, Milliseconds(1)).count()));
+    const auto left = std::chrono::duration_cast<Milliseconds>(call.deadline - call.acquiredAt);
+    request.set(headerNames.timeoutMs, std::to_string(std::max(left - ResponseMargin, Milliseconds(1)).count()));
     if (!headerNames.expectedTarget.empty()) {
         request.set(headerNames.expectedTarget, targetId);
     }
@@ -247,107 +247,107 @@
     return request;
 }
 
-AdmissionController::End Sidecar::Private::releaseReasonOf(const HttpResponse &response, AnswerVerdict verdict) const
+AdmissionController::ReleaseReason Sidecar::Private::releaseReasonOf(const HttpResponse &response, ResponseClass verdict) const
 {
-    using Reason = AdmissionController::End;
+    using Reason = AdmissionController::ReleaseReason;
     switch (verdict) {
-    case AnswerVerdict::NotExecuted:
-        return Reason::Shed;
-    case AnswerVerdict::Spoiled:
-        return Reason::Broken;
-    case AnswerVerdict::Answered:
-    case AnswerVerdict::Failed:
+    case ResponseClass::NotExecuted:
+        return Reason::Overloaded;
+    case ResponseClass::Untrusted:
+        return Reason::ConnectionLost;
+    case ResponseClass::Answered:
+    case ResponseClass::Failed:
         break;
     }
-    const bool provesNotRun = !options.dialect.notExecuted.empty();
-    return !provesNotRun && response.result() == http::status::service_unavailable ? Reason::Shed : Reason::Answered;
+    const bool provesNotRun = !options.headerNames.notExecuted.empty();
+    return !provesNotRun && response.result() == http::status::service_unavailable ? Reason::Overloaded : Reason::Answered;
 }
 
 // Returns the response to the ingress for the target's response.
-HttpResponse Sidecar::Private::responseOf(HttpResponse response, AnswerVerdict verdict) const
+HttpResponse Sidecar::Private::responseOf(HttpResponse response, ResponseClass verdict) const
 {
     switch (verdict) {
-    case AnswerVerdict::NotExecuted: {
+    case ResponseClass::NotExecuted: {
         auto rejected = notRunResponse(http::status::service_unavailable, "refused", "the target states that it did not run the call");
         rejected.set(CallHeaders::Outcome, CallHeaders::NotRunByTarget);
         return rejected;
     }
-    case AnswerVerdict::Spoiled:
+    case ResponseClass::Untrusted:
         return outcomeUnknownResponse("the response cannot be attributed to the target", http::status::bad_gateway);
-    case AnswerVerdict::Answered:
-    case AnswerVerdict::Failed:
+    case ResponseClass::Answered:
+    case ResponseClass::Failed:
         break;
     }
-    stripFields(response, options.dialect);
+    stripFields(response, options.headerNames);
     return response;
 }
 
 asio::awaitable<HttpResponse> Sidecar::Private::forward(HttpRequest request, SlotCall call, ServerConnection &connection)
 {
-    using Reason = AdmissionController::End;
-    const auto &headerNames = options.dialect;
+    using Reason = AdmissionController::ReleaseReason;
+    const auto &headerNames = options.headerNames;
     auto forwarded = targetRequest(std::move(request), call);
     std::unique_ptr<BodySource> rest;
-    HttpClient::Companions companions;
+    HttpClient::ExchangeOptions companions;
     companions.cancellation = &connection.cancellation();
-    companions.requestBody = call.heldBytes > 0 ? nullptr : connection.requestBody();
-    companions.answerBody = &rest;
+    companions.requestBody = call.bufferedBytes > 0 ? nullptr : connection.requestBody();
+    companions.responseBody = &rest;
     if (forwarded.count(CallHeaders::RetriedAbove) == 0 && !headerNames.notExecuted.empty()) {
         companions.maxIdle = MaxIdleWithoutRetry;
     }
     if (!headerNames.requestId.empty()) {
-        companions.belongs = [&](const http::fields &fields) {
+        companions.matchesRequest = [&](const http::fields &fields) {
             const auto id = fields[headerNames.requestId];
             return id.empty() || id == forwarded[headerNames.requestId];
         };
     }
-    running.insert_or_assign(call.id, RunningCall{call.route, call.terms.priority, call.terms.repeat});
+    running.insert_or_assign(call.id, RunningCall{call.route, call.terms.priority, call.terms.isRetry});
     const auto begin = Clock::now();
     auto response = co_await options.client.exchange(options.target, forwarded, call.deadline, companions);
     running.erase(call.id);
     const auto time = std::chrono::duration_cast<Microseconds>(Clock::now() - begin);
     if (options.stageEnded) {
-        options.stageEnded(CallStage::Line, std::chrono::duration_cast<Microseconds>(begin - call.arrived));
+        options.stageEnded(CallStage::Queue, std::chrono::duration_cast<Microseconds>(begin - call.arrived));
         options.stageEnded(CallStage::Target, time);
     }
     if (response) {
-        const auto verdict = judgeAnswer(headerNames,
+        const auto verdict = classifyResponse(headerNames,
             {.status = response->result_int(),
-                .hasProof = response->count(headerNames.answerProof) > 0,
-                .saysNotExecuted = response->count(headerNames.notExecuted) > 0,
+                .hasOriginMarker = response->count(headerNames.originMarker) > 0,
+                .isMarkedNotExecuted = response->count(headerNames.notExecuted) > 0,
                 .hasEncoding = response->count(http::field::content_encoding) > 0});
         const auto reason = releaseReasonOf(*response, verdict);
-        if (options.targetEnded && verdict != AnswerVerdict::NotExecuted) {
-            options.targetEnded(call.route, verdict == AnswerVerdict::Failed ? TargetEnd::Failed : TargetEnd::Answered, time);
+        if (options.callEnded && verdict != ResponseClass::NotExecuted) {
+            options.callEnded(call.route, verdict == ResponseClass::Failed ? TargetResult::Failed : TargetResult::Answered, time);
         }
-        const bool streamed = rest && (verdict == AnswerVerdict::Answered || verdict == AnswerVerdict::Failed);
+        const bool streamed = rest && (verdict == ResponseClass::Answered || verdict == ResponseClass::Failed);
         auto answer = responseOf(std::move(*response), verdict);
-        if (const auto *services = calledServices.of(call.route)) {
-            answer.set(CallHeaders::Calls, formatCalls(*services));
+        if (const auto *services = calledServices.servicesOf(call.route)) {
+            answer.set(CallHeaders::Calls, formatCalledServices(*services));
         }
         if (streamed) {
             reportLoad(answer);
             co_await connection.sendStreamed(std::move(answer), *rest);
-            slots->leave(call, reason);
+            slots->release(call, reason);
             co_return answer;
         }
         // The reported load leaves this call out: otherwise a target with one slot would never appear to
         // have a free one.
-        slots->leave(call, reason);
+        slots->release(call, reason);
         reportLoad(answer);
         co_return answer;
     }
     if (response.error().kind == ErrorKind::Unavailable) {
-        slots->leave(call, Reason::NotSent);
-        if (options.targetLost && !connection.cancellation().cancelled()) {
-            options.targetLost();
+        slots->release(call, Reason::NotSent);
+        if (options.targetUnreachable && !connection.cancellation().cancelled()) {
+            options.targetUnreachable();
         }
         co_return reject("the target cannot be reached");
     }
     const bool late = Clock::now() >= call.deadline;
     const bool cancelled = connection.cancellation().cancelled();
-    if (options.targetEnded) {
-        options.targetEnded(call.route, late || cancelled ? TargetEnd::GivenUp : TargetEnd::Answered, time);
+    if (options.callEnded) {
+        options.callEnded(call.route, late || cancelled ? TargetResult::Abandoned : TargetResult::Answered, time);
     }
     options.log(LogLevel::Info,
         "target-gave-no-answer",
@@ -358,7 +358,7 @@
             {"cancelled", cancelled},
             {"ms", std::chrono::duration_cast<Milliseconds>(Clock::now() - begin).count()},
             {"reason", response.error().message}});
-    slots->leave(call, cancelled ? Reason::Cancelled : late ? Reason::GivenUp : Reason::Broken);
+    slots->release(call, cancelled ? Reason::Cancelled : late ? Reason::TimedOut : Reason::ConnectionLost);
     auto unknown = outcomeUnknownResponse(response.error().message, late ? http::status::gateway_timeout : http::status::bad_gateway);
     reportLoad(unknown);
     co_return unknown;
@@ -379,15 +379,15 @@
 // Buffers the call's body. Returns the rejection if that fails, or nothing once the body is complete.
 asio::awaitable<std::optional<HttpResponse>> Sidecar::Private::bufferBody(HttpRequest &request, SlotCall &call, ServerConnection &connection)
 {
-    const auto outcome = co_await bodyReceiver.take(request, call, connection);
-    if (outcome.end == BodyIntake::End::Refused) {
+    const auto outcome = co_await bodyReceiver.receive(request, call, connection);
+    if (outcome.status == BodyReceiver::Status::Rejected) {
         co_return rejectBody(call, outcome.arrival);
     }
     if (options.stageEnded) {
         options.stageEnded(CallStage::Body, std::chrono::duration_cast<Microseconds>(Clock::now() - call.arrived));
     }
     // The target may have started draining while the body arrived.
-    const auto reason = outcome.end == BodyIntake::End::CutOff ? "the request body was cut off: " + outcome.error.message() : refusal(request);
+    const auto reason = outcome.status == BodyReceiver::Status::Interrupted ? "the request body was cut off: " + outcome.error.message() : refusal(request);
     if (!reason.empty()) {
         logRejection(call, reason);
         co_return reject(reason);
@@ -414,24 +414,24 @@
         co_return keep->reject(reason);
     }
     // Releases the memory of the buffered body however the call ends.
-    const auto release = [&keep](SlotCall *buffered) { keep->bodyReceiver.release(buffered->heldBytes); };
+    const auto release = [&keep](SlotCall *buffered) { keep->bodyReceiver.release(buffered->bufferedBytes); };
     const std::unique_ptr<SlotCall, decltype(release)> bodyGuard(&call, release);
-    if (BodyIntake::takes(connection.requestBody())) {
+    if (BodyReceiver::buffers(connection.requestBody())) {
         auto rejected = co_await keep->bufferBody(request, call, connection);
         if (rejected) {
             co_return std::move(*rejected);
         }
     }
-    const bool entered = co_await keep->slots->enter(call, connection);
+    const bool entered = co_await keep->slots->acquire(call, connection);
     if (!entered) {
         co_return keep->rejectFull(call);
     }
     // After a pause of this process, or a wait for a slot, the ingress may have timed out, told its
     // caller so and closed the connection; nobody would get the response. The target may also have
     // stopped accepting calls.
-    const bool stopped = keep->state == MemberState::Draining || keep->guard.isShut();
+    const bool stopped = keep->state == MemberState::Draining || keep->guard.rejectsAll();
     if (stopped || connection.peerClosed()) {
-        keep->slots->leave(call, AdmissionController::End::NotSent);
+        keep->slots->release(call, AdmissionController::ReleaseReason::NotSent);
         const auto *reason = stopped ? "the target stopped accepting calls" : "the ingress closed the connection";
         keep->logRejection(call, reason);
         co_return keep->reject(reason);
@@ -441,17 +441,17 @@
 
 std::string Sidecar::Private::callIdOf(const HttpRequest &request) const
 {
-    const auto &field = options.dialect.requestId;
+    const auto &field = options.headerNames.requestId;
     return std::string(field.empty() ? request[CallHeaders::CallId] : request[field]);
 }
 
 void Sidecar::drain()
 {
     d->slots->startDraining();
-    d->bodyReceiver.refuseWaiting();
+    d->bodyReceiver.rejectWaiting();
 }
 
-void Sidecar::runCalled(const RouteName &route, const ServiceName &service)
+void Sidecar::nestedCallMade(const RouteName &route, const ServiceName &service)
 {
     d->calledServices.add(route, service);
 }
@@ -462,10 +462,10 @@
     return found == d->running.end() ? std::nullopt : std::optional(found->second);
 }
 
-OwnLoad Sidecar::load() const
+LocalTargetLoad Sidecar::load() const
 {
     auto load = d->load();
-    if (d->guard.isOnTrial() || d->guard.isShut()) {
+    if (d->guard.isCanary() || d->guard.rejectsAll()) {
         load.load.limit = 0;
     }
     return load;
--- a/src/daemon/sidecar.h
+++ b/src/daemon/sidecar.h
@@ -2,7 +2,7 @@
 
 #include "adapters/http/httpclient.h"
 #include "adapters/http/httpserver.h"
-#include "core/calls/calldialect.h"
+#include "core/calls/callheadernames.h"
 #include "core/calls/callpolicy.h"
 #include "core/calls/linkschedule.h"
 #include "core/calls/routingview.h"
@@ -23,9 +23,9 @@
 // Stages of a call whose latency is measured.
 enum class CallStage {
     // From the call's arrival at the ingress to its final response.
-    Whole,
+    Total,
     // Waiting in the sidecar's queue for a slot.
-    Line,
+    Queue,
     // From the offer of a large body until the sidecar has received all of it.
     Body,
     // From the request to the target to its response.
@@ -47,15 +47,15 @@
         Logger log;
         CallPolicy policy;
         // Names of the header fields that the target uses.
-        CallDialect dialect;
+        CallHeaderNames headerNames;
         // The VM's inbound link, on which large bodies arrive from other nodes.
         LinkSchedule::Options link;
         // Called when the target starts or stops accepting calls.
         std::function<void(MemberState)> stateChanged;
         // Called when the target cannot be reached, so that it may have exited. May be null.
-        std::function<void()> targetLost;
+        std::function<void()> targetUnreachable;
         // Called when a call of the route ends at the target, with its duration there. May be null.
-        std::function<void(const RouteName &route, TargetEnd end, std::chrono::microseconds time)> targetEnded;
+        std::function<void(const RouteName &route, TargetResult end, std::chrono::microseconds time)> callEnded;
         // Called when a call leaves the stage, with the time that it spent there. May be null.
         std::function<void(CallStage stage, std::chrono::microseconds time)> stageEnded;
     };
@@ -68,7 +68,7 @@
 
     // Sets the state and the slots of a target that announces itself. Once this returns, no further
     // call is sent to a target that accepts none.
-    void announced(const TargetAnnouncement &target, MemberState state);
+    void targetAnnounced(const TargetAnnouncement &target, MemberState state);
 
     // Sets the rule of the service's rollout, or none. Once this returns, the target gets no further
     // call that the rule forbids.
@@ -85,13 +85,13 @@
     std::uint32_t inFlight() const;
 
     // The target's load, with a limit of zero if it accepts no calls, or only those of a canary.
-    OwnLoad load() const;
+    LocalTargetLoad load() const;
 
     // Whether no call is running at the target or waiting for it.
     bool idle() const;
 
     // Records that the target, while it ran a call of the route, made a nested call to the service.
-    void runCalled(const RouteName &route, const ServiceName &service);
+    void nestedCallMade(const RouteName &route, const ServiceName &service);
 
     // Returns the call with the id that its caller gave it, if the target is running it.
     std::optional<RunningCall> running(std::string_view id) const;
--- a/src/daemon/slotline.cpp
+++ b/src/daemon/slotqueue.cpp
@@ -1,4 +1,4 @@
-#include "daemon/slotline.h"
+#include "daemon/slotqueue.h"
 
 #include <algorithm>
 
@@ -10,8 +10,8 @@
 
 // Limit of a call's wait for a slot, as a multiple of the average latency within fixed bounds.
 constexpr int WaitFactor = 2;
-constexpr Microseconds ShortestWait{5000};
-constexpr Microseconds LongestWait{200000};
+constexpr Microseconds MinWait{5000};
+constexpr Microseconds MaxWait{200000};
 
 // Latency assumed for a call before the first response.
 constexpr Microseconds UnknownLatency{25000};
@@ -34,7 +34,7 @@
 }
 
 // A call that waits for a slot.
-struct SlotLine::Waiter
+struct SlotQueue::Waiter
 {
     explicit Waiter(asio::io_context &context)
         : timer(context)
@@ -46,93 +46,93 @@
     bool admitted = false;
 };
 
-SlotLine::SlotLine(asio::io_context &context, const CallPolicy &policy)
+SlotQueue::SlotQueue(asio::io_context &context, const CallPolicy &policy)
     : m_context(context)
     , m_policy(policy)
     , m_admission(policy)
     , m_queue({.newestFirst = policy.newestFirst, .fairShares = policy.fairShares, .byUrgency = policy.byUrgency})
-    , m_lateOffers({})
+    , m_lateCallFilter({})
 {
 }
 
-void SlotLine::setSlots(std::uint32_t slots)
+void SlotQueue::setSlots(std::uint32_t slots)
 {
     m_admission.setSlots(slots);
 }
 
-void SlotLine::restart()
+void SlotQueue::restart()
 {
     m_admission.restart();
     m_times.clear();
 }
 
-void SlotLine::startDraining()
+void SlotQueue::startDraining()
 {
     m_admission.startDraining();
-    refuseWaiting();
+    rejectWaiting();
 }
 
-bool SlotLine::draining() const
+bool SlotQueue::draining() const
 {
     return m_admission.draining();
 }
 
-std::uint32_t SlotLine::running() const
+std::uint32_t SlotQueue::running() const
 {
     return m_admission.inFlight();
 }
 
-std::uint32_t SlotLine::limit() const
+std::uint32_t SlotQueue::limit() const
 {
     return m_admission.limit();
 }
 
-std::size_t SlotLine::waiting() const
+std::size_t SlotQueue::waiting() const
 {
     return m_queue.size();
 }
 
-std::chrono::microseconds SlotLine::fastest() const
+std::chrono::microseconds SlotQueue::lowestBaseline() const
 {
-    return m_admission.fastest();
+    return m_admission.lowestBaseline();
 }
 
 // Time until which the call may wait. A call that would get its slot later is better rejected at
 // once, so that it can go to another target.
-TimePoint SlotLine::waitLimit(const SlotCall &call) const
+TimePoint SlotQueue::waitLimit(const SlotCall &call) const
 {
     if (m_policy.byUrgency) {
         return latestStart(call);
     }
-    const auto average = m_admission.typical().count() == 0 ? UnknownLatency : m_admission.typical();
-    const auto longest = std::clamp(WaitFactor * average, ShortestWait, LongestWait);
-    return std::min(call.entered + longest, call.deadline - m_admission.fastest());
+    const auto average = m_admission.averageLatency().count() == 0 ? UnknownLatency : m_admission.averageLatency();
+    const auto longest = std::clamp(WaitFactor * average, MinWait, MaxWait);
+    return std::min(call.acquiredAt + longest, call.deadline - m_admission.lowestBaseline());
 }
 
 // Time within which the target answers most calls of the route.
-std::chrono::microseconds SlotLine::expectedServiceTime(const SlotCall &call) const
+std::chrono::microseconds SlotQueue::expectedServiceTime(const SlotCall &call) const
 {
-    const auto known = m_times.usual(call.route);
+    const auto known = m_times.average(call.route);
     const auto needed = known.count() == 0 ? UnknownLatency : known;
     return std::chrono::duration_cast<Microseconds>(needed * LatencyMargin);
 }
 
 // Latest time to get a slot and still be answered within the objective, or by the deadline for a
 // call without one. A call that waits longer takes its slot from one that could still be in time.
-TimePoint SlotLine::latestStart(const SlotCall &call) const
+TimePoint SlotQueue::latestStart(const SlotCall &call) const
 {
     const auto latest = latestOnTimeStart(call);
     return call.terms.waitLeft ? std::min<TimePoint>(latest, call.arrived + *call.terms.waitLeft) : latest;
 }
 
-TimePoint SlotLine::latestOnTimeStart(const SlotCall &call) const
+TimePoint SlotQueue::latestOnTimeStart(const SlotCall &call) const
 {
     // Without the response to a nested call, even a late one, the work of its parent call is lost.
-    const auto responseBy = call.terms.forRunningCall ? call.deadline : std::min(call.objective, call.deadline);
+    const auto responseBy = call.terms.hasRunningParent ? call.deadline : std::min(call.objective, call.deadline);
     return responseBy - expectedServiceTime(call);
 }
 
-bool SlotLine::canStartAt(const SlotCall &call, TimePoint bodyHere) const
+bool SlotQueue::canMeetObjective(const SlotCall &call, TimePoint bodyHere) const
 {
     const auto now = Clock::now();
     const auto slotFree = running() < limit() ? now : now + expectedWait(call);
@@ -140,30 +140,30 @@
     return std::max<TimePoint>(bodyHere, slotFree) <= now + std::chrono::duration_cast<Clock::duration>(span);
 }
 
-CallUrgency SlotLine::urgencyOf(const SlotCall &call) const
+CallUrgency SlotQueue::urgencyOf(const SlotCall &call) const
 {
-    return {!call.terms.forRunningCall, call.terms.priority, latestStart(call)};
+    return {!call.terms.hasRunningParent, call.terms.priority, latestStart(call)};
 }
 
 // Average time between two slots that become free while all slots are in use.
-std::chrono::microseconds SlotLine::slotInterval() const
+std::chrono::microseconds SlotQueue::slotInterval() const
 {
-    const auto known = m_times.usual();
+    const auto known = m_times.average();
     const auto average = known.count() == 0 ? UnknownLatency : known;
     return average / std::max<std::uint32_t>(m_admission.limit(), 1);
 }
 
 // Each call ahead in the queue takes one of the slots that become free.
-std::chrono::microseconds SlotLine::expectedWait(const SlotCall &call) const
+std::chrono::microseconds SlotQueue::expectedWait(const SlotCall &call) const
 {
     if (!m_policy.byUrgency) {
-        return m_admission.typical() * (m_queue.size() + 1) / std::max<std::uint32_t>(m_admission.limit(), 1);
+        return m_admission.averageLatency() * (m_queue.size() + 1) / std::max<std::uint32_t>(m_admission.limit(), 1);
     }
-    return slotInterval() * (m_queue.ahead(urgencyOf(call)) + 1);
+    return slotInterval() * (m_queue.countAhead(urgencyOf(call)) + 1);
 }
 
 // Lateness counts like a wait, so that targets that would answer too late compare badly.
-std::chrono::microseconds SlotLine::costOf(const SlotCall &call) const
+std::chrono::microseconds SlotQueue::costOf(const SlotCall &call) const
 {
     const auto wait = running() < limit() ? Microseconds(0) : expectedWait(call);
     const auto end = Clock::now() + expectedServiceTime(call);
@@ -171,7 +171,7 @@
     return wait + (late ? std::chrono::duration_cast<Microseconds>(end - call.objective) : Microseconds(0));
 }
 
-std::chrono::microseconds SlotLine::expectedWait() const
+std::chrono::microseconds SlotQueue::expectedWait() const
 {
     if (m_admission.inFlight() < m_admission.limit()) {
         return Microseconds(0);
@@ -179,42 +179,42 @@
     return slotInterval() * (m_queue.size() + 1);
 }
 
-void SlotLine::rejectUnschedulable()
+void SlotQueue::rejectUnschedulable()
 {
-    while (const auto ticket = m_queue.takeHopeless(Clock::now(), slotInterval())) {
+    while (const auto ticket = m_queue.popUnschedulable(Clock::now(), slotInterval())) {
         wake(*ticket, false);
     }
 }
 
 // Only calls that may not wait are rejected for lateness: they still have other targets to go to,
 // while a call that may wait has been offered to those before.
-bool SlotLine::rejectsAsLate(const SlotCall &call)
+bool SlotQueue::rejectsAsLate(const SlotCall &call)
 {
     const bool hasAlternatives = m_policy.byUrgency && !call.terms.mayWait && running() < limit();
-    return hasAlternatives && m_lateOffers.turnsAway(call.entered, call.entered + expectedServiceTime(call), call.objective);
+    return hasAlternatives && m_lateCallFilter.shouldReject(call.acquiredAt, call.acquiredAt + expectedServiceTime(call), call.objective);
 }
 
-asio::awaitable<bool> SlotLine::enter(SlotCall &call, ServerConnection &connection)
+asio::awaitable<bool> SlotQueue::acquire(SlotCall &call, ServerConnection &connection)
 {
-    call.entered = Clock::now();
-    if (m_policy.byUrgency && call.objective != TimePoint::max() && call.objective > call.entered) {
-        m_times.suppose(call.route, std::chrono::duration_cast<Microseconds>((call.objective - call.entered) * AssumedLatencyShare));
+    call.acquiredAt = Clock::now();
+    if (m_policy.byUrgency && call.objective != TimePoint::max() && call.objective > call.acquiredAt) {
+        m_times.assume(call.route, std::chrono::duration_cast<Microseconds>((call.objective - call.acquiredAt) * AssumedLatencyShare));
     }
     if (rejectsAsLate(call)) {
         co_return false;
     }
-    if (m_queue.size() == 0 && m_admission.tryEnter(call.entered)) {
-        m_queue.started(call.route);
+    if (m_queue.size() == 0 && m_admission.tryAcquire(call.acquiredAt)) {
+        m_queue.callStarted(call.route);
         co_return true;
     }
     const bool mayWait = m_policy.queue && call.terms.mayWait;
-    if (!mayWait || call.entered + expectedWait(call) >= waitLimit(call)) {
+    if (!mayWait || call.acquiredAt + expectedWait(call) >= waitLimit(call)) {
         co_return false;
     }
     co_return co_await waitForSlot(call, connection);
 }
 
-asio::awaitable<bool> SlotLine::waitForSlot(SlotCall &call, ServerConnection &connection)
+asio::awaitable<bool> SlotQueue::waitForSlot(SlotCall &call, ServerConnection &connection)
 {
     const auto waiter = std::make_shared<Waiter>(m_context);
     const QueueTicket ticket(m_nextTicket++);
@@ -240,11 +240,11 @@
     connection.cancellation().setHook(nullptr);
     m_queue.remove(ticket);
     m_waiters.erase(ticket.value());
-    call.entered = Clock::now();
+    call.acquiredAt = Clock::now();
     co_return waiter->admitted;
 }
 
-void SlotLine::wake(QueueTicket ticket, bool admitted)
+void SlotQueue::wake(QueueTicket ticket, bool admitted)
 {
     const auto found = m_waiters.find(ticket.value());
     // A call that has been given a slot keeps it even if its caller disconnects at the same moment;
@@ -255,17 +255,17 @@
     }
 }
 
-void SlotLine::admitWaiting()
+void SlotQueue::admitWaiting()
 {
     m_admission.releaseHeld(Clock::now());
-    while (m_queue.size() > 0 && m_admission.tryEnter(Clock::now())) {
+    while (m_queue.size() > 0 && m_admission.tryAcquire(Clock::now())) {
         const auto ticket = *m_queue.pop(Clock::now());
-        m_queue.started(m_waiters.at(ticket.value())->route);
+        m_queue.callStarted(m_waiters.at(ticket.value())->route);
         wake(ticket, true);
     }
 }
 
-asio::awaitable<void> SlotLine::admitWhenReleased()
+asio::awaitable<void> SlotQueue::admitWhenReleased()
 {
     const auto keep = shared_from_this();
     asio::steady_timer timer(m_context, m_admission.nextRelease());
@@ -274,20 +274,20 @@
     admitWaiting();
 }
 
-void SlotLine::leave(const SlotCall &call, AdmissionController::End reason)
+void SlotQueue::release(const SlotCall &call, AdmissionController::ReleaseReason reason)
 {
-    m_queue.ended(call.route);
-    if (reason == AdmissionController::End::Answered) {
-        m_times.observed(call.route, std::chrono::duration_cast<Microseconds>(Clock::now() - call.entered));
+    m_queue.callEnded(call.route);
+    if (reason == AdmissionController::ReleaseReason::Answered) {
+        m_times.record(call.route, std::chrono::duration_cast<Microseconds>(Clock::now() - call.acquiredAt));
     }
-    m_admission.leave(call.route, call.entered, reason, Clock::now());
-    if (reason == AdmissionController::End::GivenUp || reason == AdmissionController::End::Cancelled) {
+    m_admission.release(call.route, call.acquiredAt, reason, Clock::now());
+    if (reason == AdmissionController::ReleaseReason::TimedOut || reason == AdmissionController::ReleaseReason::Cancelled) {
         asio::co_spawn(m_context, admitWhenReleased(), asio::detached);
     }
     admitWaiting();
 }
 
-void SlotLine::refuseWaiting()
+void SlotQueue::rejectWaiting()
 {
     while (const auto ticket = m_queue.pop()) {
         wake(*ticket, false);
--- a/src/daemon/slotline.h
+++ b/src/daemon/slotqueue.h
@@ -4,7 +4,7 @@
 #include "core/calls/admissioncontroller.h"
 #include "core/calls/callpolicy.h"
 #include "core/calls/callqueue.h"
-#include "core/calls/lateoffers.h"
+#include "core/calls/latecallfilter.h"
 #include "core/calls/servicetimes.h"
 #include "daemon/callmessages.h"
 
@@ -23,20 +23,20 @@
     TimePoint arrived;
     TimePoint deadline;
     // When the call got its slot, or was denied one.
-    TimePoint entered;
+    TimePoint acquiredAt;
     CallTerms terms;
     // Time by which the latency objective asks for the response.
     TimePoint objective = TimePoint::max();
     std::string callerService;
     // Length of the request body, if it was buffered as a whole before; else zero.
-    std::uint64_t heldBytes = 0;
+    std::uint64_t bufferedBytes = 0;
 };
 
 // The slots of one target and the queue of calls that wait for them. Used on the data thread only.
-class SlotLine : public std::enable_shared_from_this<SlotLine>
+class SlotQueue : public std::enable_shared_from_this<SlotQueue>
 {
 public:
-    SlotLine(asio::io_context &context, const CallPolicy &policy);
+    SlotQueue(asio::io_context &context, const CallPolicy &policy);
 
     // Sets the number of calls that the target runs at a time.
     void setSlots(std::uint32_t slots);
@@ -50,15 +50,15 @@
 
     // Takes a slot, and waits for one if the call may wait and can still be answered in time. Returns
     // false if the call got none.
-    asio::awaitable<bool> enter(SlotCall &call, ServerConnection &connection);
+    asio::awaitable<bool> acquire(SlotCall &call, ServerConnection &connection);
 
     // Releases the call's slot.
-    void leave(const SlotCall &call, AdmissionController::End reason);
+    void release(const SlotCall &call, AdmissionController::ReleaseReason reason);
 
     // Give the free slots to waiting calls, or reject all waiting calls, which have not run and can
     // still go to other targets.
     void admitWaiting();
-    void refuseWaiting();
+    void rejectWaiting();
 
     // Expected wait for a slot, for the given call and for a further call at the end of the queue.
     std::chrono::microseconds expectedWait(const SlotCall &call) const;
@@ -66,7 +66,7 @@
 
     // Whether the call, with its body complete at the given time, is expected to get a slot early
     // enough to be answered in time.
-    bool canStartAt(const SlotCall &call, TimePoint bodyHere) const;
+    bool canMeetObjective(const SlotCall &call, TimePoint bodyHere) const;
 
     // Cost of running the call here: its expected wait plus the time by which it would miss its
     // objective.
@@ -77,7 +77,7 @@
     std::size_t waiting() const;
 
     // Shortest usual latency of any route's calls; zero while unknown.
-    std::chrono::microseconds fastest() const;
+    std::chrono::microseconds lowestBaseline() const;
 
 private:
     struct Waiter;
@@ -99,7 +99,7 @@
     AdmissionController m_admission;
     CallQueue m_queue;
     ServiceTimes m_times;
-    LateOffers m_lateOffers;
+    LateCallFilter m_lateCallFilter;
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters;
     std::uint64_t m_nextTicket = 1;
 };
--- a/src/daemon/targetservice.cpp
+++ b/src/daemon/targetservice.cpp
@@ -9,14 +9,14 @@
 // Time between two health checks of a target whose announcement has not been confirmed yet.
 constexpr Milliseconds CheckInterval{300};
 
-const char *verdictName(TargetRegistration::Verdict verdict)
+const char *verdictName(TargetRegistration::RegistrationResult verdict)
 {
     switch (verdict) {
-    case TargetRegistration::Verdict::Taken:
+    case TargetRegistration::RegistrationResult::Accepted:
         return "taken";
-    case TargetRegistration::Verdict::Stale:
+    case TargetRegistration::RegistrationResult::Stale:
         return "stale";
-    case TargetRegistration::Verdict::Foreign:
+    case TargetRegistration::RegistrationResult::Foreign:
         return "foreign";
     }
     return "foreign";
@@ -41,7 +41,7 @@
     TargetVersion publishedVersion;
     bool checking = false;
 
-    TargetRegistration::Verdict processMessage(const TargetMessage &message);
+    TargetRegistration::RegistrationResult processMessage(const TargetMessage &message);
     void publish(const char *cause);
     asio::awaitable<void> check();
 };
@@ -53,12 +53,12 @@
 
 TargetService::~TargetService() = default;
 
-TargetRegistration::Verdict TargetService::Private::processMessage(const TargetMessage &message)
+TargetRegistration::RegistrationResult TargetService::Private::processMessage(const TargetMessage &message)
 {
-    if (const auto *leaving = std::get_if<TargetLeaving>(&message)) {
-        return registration.left(leaving->id, leaving->startedAt);
+    if (const auto *leaving = std::get_if<TargetDeparture>(&message)) {
+        return registration.leaveAnnounced(leaving->id, leaving->startedAt);
     }
-    return registration.announced(std::get<TargetAnnouncement>(message), Clock::now());
+    return registration.targetAnnounced(std::get<TargetAnnouncement>(message), Clock::now());
 }
 
 asio::awaitable<HttpResponse> TargetService::handle(HttpRequest request)
@@ -70,7 +70,7 @@
         co_return makeErrorResponse(http::status::bad_request, "invalid", message.error().message);
     }
     const auto verdict = keep->processMessage(*message);
-    if (verdict == TargetRegistration::Verdict::Foreign) {
+    if (verdict == TargetRegistration::RegistrationResult::Foreign) {
         keep->options.log(
             LogLevel::Warning, "announcement-refused", {{"reason", "the announcement names another service or address than those of this VM's target"}});
         co_return makeErrorResponse(http::status::bad_request,
@@ -78,7 +78,7 @@
             "this node accepts announcements only from the target of its own VM, with its configured service and address");
     }
     keep->publish(verdictName(verdict));
-    if (keep->registration.needsCheck() && !keep->checking) {
+    if (keep->registration.needsHealthCheck() && !keep->checking) {
         keep->checking = true;
         asio::co_spawn(keep->options.context, keep->check(), asio::detached);
     }
@@ -90,9 +90,9 @@
     d->publish("silent");
 }
 
-void TargetService::targetLost()
+void TargetService::targetUnreachable()
 {
-    d->registration.lost();
+    d->registration.targetUnreachable();
     d->publish("connection lost");
 }
 
@@ -134,7 +134,7 @@
 {
     const auto keep = shared_from_this();
     asio::steady_timer timer(options.context);
-    while (registration.needsCheck()) {
+    while (registration.needsHealthCheck()) {
         const auto target = *registration.target();
         HttpRequest request(http::verb::get, options.healthPath(), 11);
         request.set(http::field::host, toString(target.address));
@@ -142,9 +142,9 @@
         const bool same = answer && (options.targetIdField.empty() || (*answer)[options.targetIdField] == target.id);
         const bool healthy = same && answer->result() == http::status::ok;
         options.log(LogLevel::Info, "target-checked", {{"target", target.id}, {"healthy", healthy}, {"same_target", same}});
-        registration.checked(target.id, healthy, Clock::now());
+        registration.healthChecked(target.id, healthy, Clock::now());
         publish("checked");
-        if (registration.needsCheck()) {
+        if (registration.needsHealthCheck()) {
             ErrorCode ignored;
             timer.expires_after(CheckInterval);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
--- a/src/daemon/targetservice.h
+++ b/src/daemon/targetservice.h
@@ -13,13 +13,13 @@
 namespace Galenahill {
 
 // A target's notice that it accepts no more calls.
-struct TargetLeaving
+struct TargetDeparture
 {
     std::string id;
     std::optional<std::int64_t> startedAt;
 };
 
-using TargetMessage = std::variant<TargetAnnouncement, TargetLeaving>;
+using TargetMessage = std::variant<TargetAnnouncement, TargetDeparture>;
 
 // Handles the announcements of the local target, and reports its state to the sidecar and the other
 // nodes.
@@ -54,7 +54,7 @@
     void tick();
 
     // Records that the target could not be reached.
-    void targetLost();
+    void targetUnreachable();
 
     MemberState state() const;
 
--- a/standins/announcer.cpp
+++ b/standins/announcer.cpp
@@ -46,11 +46,11 @@
         {"state", m_options.draining() ? "draining" : "ready"},
         {"sequence", std::to_string(++m_sequence)},
     };
-    const auto path = filled(m_firstLine.substr(m_firstLine.find(' ') + 1), values);
+    const auto path = fillPlaceholders(m_firstLine.substr(m_firstLine.find(' ') + 1), values);
     HttpRequest request(http::verb::put, path, 11);
     request.set(http::field::host, toString(m_options.registration));
     request.set(http::field::content_type, "application/json");
-    request.body() = filled(m_body, values);
+    request.body() = fillPlaceholders(m_body, values);
     return request;
 }
 
--- a/standins/platformmodel.cpp
+++ b/standins/platformmodel.cpp
@@ -73,7 +73,7 @@
     return changes;
 }
 
-void PlatformModel::forgetHistory()
+void PlatformModel::compactHistory()
 {
     m_changes.clear();
     m_historyStart = m_version;
--- a/standins/platformmodel.h
+++ b/standins/platformmodel.h
@@ -47,7 +47,7 @@
     std::optional<std::vector<Object>> changesAfter(const std::string &kind, std::uint64_t version) const;
 
     // Drops the history of all changes so far.
-    void forgetHistory();
+    void compactHistory();
 
     // All contents that the object ever had, including those dropped from the history.
     std::vector<std::string> contentsOf(const std::string &kind, const std::string &name) const;
--- a/standins/platformstandin.cpp
+++ b/standins/platformstandin.cpp
@@ -217,7 +217,7 @@
         return makeResponse(http::status::ok, "application/json", headHistory(m_model).dump());
     }
     if (target == "/admin/compact") {
-        m_model.forgetHistory();
+        m_model.compactHistory();
     } else if (target == "/admin/backup") {
         m_model.backUp();
     } else if (target == "/admin/restore") {
--- a/standins/samplefile.h
+++ b/standins/samplefile.h
@@ -24,7 +24,7 @@
 }
 
 // Returns the text with the placeholders replaced by the values.
-inline std::string filled(std::string text, const std::vector<std::pair<std::string, std::string>> &values)
+inline std::string fillPlaceholders(std::string text, const std::vector<std::pair<std::string, std::string>> &values)
 {
     for (const auto &[name, value] : values) {
         boost::replace_all(text, "{" + name + "}", value);
--- a/standins/targetstandin.cpp
+++ b/standins/targetstandin.cpp
@@ -18,7 +18,7 @@
 
 #include "adapters/http/httpserver.h"
 #include "announcer.h"
-#include "platform/calldialect.h"
+#include "platform/callheadernames.h"
 #include "serveuntilstopped.h"
 
 #include <fmt/format.h>
@@ -71,7 +71,7 @@
         , m_readyAt(Clock::now() + m_options.coldStart)
     {
         if (m_options.announces()) {
-            m_headerNames = Platform::callDialect();
+            m_headerNames = Platform::callHeaderNames();
         }
     }
 
@@ -99,7 +99,7 @@
     asio::io_context &m_context;
     TargetOptions m_options;
     // Left at the defaults with galenahilld nodes, whose request id field is Request-Id.
-    CallDialect m_headerNames;
+    CallHeaderNames m_headerNames;
     TimePoint m_readyAt;
     std::string m_ledger;
     std::uint32_t m_running = 0;
@@ -238,8 +238,8 @@
     --m_running;
     auto response = makeResponse(http::status::ok, "text/plain", "done " + id);
     response.set(m_headerNames.requestId.empty() ? "Request-Id" : m_headerNames.requestId, id);
-    if (!m_headerNames.answerProof.empty()) {
-        response.set(m_headerNames.answerProof, m_options.id);
+    if (!m_headerNames.originMarker.empty()) {
+        response.set(m_headerNames.originMarker, m_options.id);
     }
     co_return response;
 }
