--- a/autotests/support/loadsimulation.h
+++ b/autotests/support/loadsimulation.h
@@ -20,7 +20,7 @@
 namespace Galenahill::Test {
 
 // Simulation of one service of a fleet under open-loop load, in model time: an ingress on each VM
-// chooses targets with the project's own classes, targets run calls in slots and queue them for a
+// chooses targets with the production classes, targets run calls in slots and queue them for a
 // bounded time. The result depends on the options and the seed only.
 class LoadSimulation
 {
@@ -274,16 +274,16 @@
     void offer(const std::shared_ptr<Call> &call)
     {
         auto &ingress = m_nodes[call->ingress];
-        const auto choice = nextOffer(*ingress.picker, m_targets, call->offers, {.dataCentre = ingress.record.dataCentre}, m_now);
-        if (choice.target == nullptr) {
+        const auto next = nextOffer(*ingress.picker, m_targets, call->offers, {.dataCentre = ingress.record.dataCentre}, m_now);
+        if (next.target == nullptr) {
             ++m_result.refused;
             return;
         }
-        const auto target = m_index.at(choice.target->address);
-        ingress.picker->addInFlight(choice.target->name, m_now);
+        const auto target = m_index.at(next.target->address);
+        ingress.picker->addInFlight(next.target->name, m_now);
         ++m_result.offers;
-        m_result.remoteOffers += choice.target->dataCentre != ingress.record.dataCentre ? 1 : 0;
-        at(m_now + latency(ingress, m_nodes[target]), [this, call, target, mayWait = choice.mayWait] { arrive(call, target, mayWait); });
+        m_result.remoteOffers += next.target->dataCentre != ingress.record.dataCentre ? 1 : 0;
+        at(m_now + latency(ingress, m_nodes[target]), [this, call, target, mayWait = next.mayWait] { arrive(call, target, mayWait); });
     }
 
     void arrive(const std::shared_ptr<Call> &call, std::size_t index, bool mayWait)
--- a/autotests/unit/admissioncontrollertest.cpp
+++ b/autotests/unit/admissioncontrollertest.cpp
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_SUITE_END()
 
 // Callers close their connections while their calls run, which says nothing about the target. If
-// it counted as a stall or a restart, it would lower the limit, and a few impatient callers could
+// it counted as a stall or a restart, it would lower the limit, and a few such callers could
 // throttle the service for all others.
 BOOST_FIXTURE_TEST_CASE(cancelledCallsFreeTheirSlotsSoonAndDoNotLowerTheLimit, Fixture)
 {
--- a/autotests/unit/attempttimeoutpolicytest.cpp
+++ b/autotests/unit/attempttimeoutpolicytest.cpp
@@ -16,10 +16,10 @@
 // other target could be tried.
 BOOST_AUTO_TEST_CASE(leavesTimeForAnotherAttempt)
 {
-    AttemptTimeoutPolicy timer;
-    BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Deadline));
-    timer.record(Board, Milliseconds(20));
-    BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Now + Milliseconds(150)));
+    AttemptTimeoutPolicy policy;
+    BOOST_TEST((policy.attemptDeadline(Board, Now, Deadline) == Deadline));
+    policy.record(Board, Milliseconds(20));
+    BOOST_TEST((policy.attemptDeadline(Board, Now, Deadline) == Now + Milliseconds(150)));
 }
 
 // Calls of the route take 200 of 300 ms. If attempts were cancelled at half of that, all would be
@@ -27,10 +27,10 @@
 // route becomes that slow suddenly, attempts get more time after a few calls.
 BOOST_AUTO_TEST_CASE(doesNotShortenRoutesThatNeedTheirTimeout)
 {
-    AttemptTimeoutPolicy timer;
-    timer.record(Board, Milliseconds(20));
+    AttemptTimeoutPolicy policy;
+    policy.record(Board, Milliseconds(20));
     for (int i = 0; i < 40; ++i) {
-        timer.record(Board, Milliseconds(150));
+        policy.record(Board, Milliseconds(150));
     }
-    BOOST_TEST((timer.attemptDeadline(Board, Now, Deadline) == Deadline));
+    BOOST_TEST((policy.attemptDeadline(Board, Now, Deadline) == Deadline));
 }
--- a/autotests/unit/clockstepdetectortest.cpp
+++ b/autotests/unit/clockstepdetectortest.cpp
@@ -8,16 +8,16 @@
 
 struct Clocks
 {
-    Milliseconds advance(Milliseconds steadyTime, Milliseconds dayTime)
+    Milliseconds advance(Milliseconds monotonicTime, Milliseconds wallTime)
     {
-        steady += steadyTime;
-        day += dayTime;
-        return detector.observe(day, steady);
+        monotonic += monotonicTime;
+        wallClock += wallTime;
+        return detector.observe(wallClock, monotonic);
     }
 
     ClockStepDetector detector;
-    TimePoint steady{Milliseconds(5000)};
-    ClockStepDetector::TimeOfDay day{Milliseconds(1'700'000'000'000)};
+    TimePoint monotonic{Milliseconds(5000)};
+    ClockStepDetector::TimeOfDay wallClock{Milliseconds(1'700'000'000'000)};
 };
 
 }
--- a/autotests/unit/datagramloopstest.cpp
+++ b/autotests/unit/datagramloopstest.cpp
@@ -1,6 +1,6 @@
 // Guards against datagram loops. Two members that misidentify each other, or know too little of
-// each other, answer datagram for datagram. No timer limits the rate, so such a pair fills the link
-// and its processors for as long as both live.
+// each other, answer datagram for datagram. No timer limits the rate, so such a pair saturates the
+// link and both CPUs for as long as both live.
 
 #include "core/fleet/membership.h"
 
--- a/autotests/unit/linkscheduletest.cpp
+++ b/autotests/unit/linkscheduletest.cpp
@@ -53,8 +53,8 @@
     BOOST_TEST(untilArrival(schedule, begin + Milliseconds(120)).count() == 68);
 }
 
-// An ingress is accepted and dies before its body has arrived. The link must not count as busy with
-// a body that nobody sends.
+// A transfer is accepted, and its ingress dies before the body has arrived. The link must not count
+// as busy with a body that nobody sends.
 BOOST_AUTO_TEST_CASE(AnAbandonedTransferFreesTheLink)
 {
     const TimePoint now(std::chrono::seconds(1));
--- a/autotests/unit/loadexchangetest.cpp
+++ b/autotests/unit/loadexchangetest.cpp
@@ -26,7 +26,7 @@
     struct Node
     {
         MemberRecord record;
-        LocalTargetLoad own;
+        LocalTargetLoad localLoad;
         std::unique_ptr<LoadExchange> exchange;
         std::map<std::string, TargetLoad> targets;
         std::map<std::string, PoolReport> pools;
@@ -37,7 +37,7 @@
     {
         for (std::size_t dataCentre = 0; dataCentre < dataCentres; ++dataCentre) {
             for (std::size_t i = 0; i < members; ++i) {
-                nodes.push_back({.record = memberOf(dataCentre, i), .own = {{3, 6}, Milliseconds(0)}});
+                nodes.push_back({.record = memberOf(dataCentre, i), .localLoad = {{3, 6}, Milliseconds(0)}});
                 records.push_back(nodes.back().record);
             }
         }
@@ -52,7 +52,7 @@
         node.exchange = std::make_unique<LoadExchange>(LoadExchange::Options{.self = node.record,
             .seed = index + 1,
             .interval = interval,
-            .localTargetLoad = [&node] { return node.own; },
+            .localTargetLoad = [&node] { return node.localLoad; },
             .send =
                 [this, &node](const Endpoint &to, const LoadReport &report) {
                     ++node.sent;
@@ -94,7 +94,7 @@
 {
     Fleet fleet(1, 49);
     fleet.run(Milliseconds(1000));
-    fleet.nodes[0].own.load.calls = 6;
+    fleet.nodes[0].localLoad.load.calls = 6;
     fleet.run(Milliseconds(1000));
     for (const auto &node : fleet.nodes) {
         BOOST_TEST(node.exchange->knownTargets() == 49U);
@@ -140,10 +140,10 @@
 BOOST_AUTO_TEST_CASE(TargetsThatAcceptNoCallsAreNotReported)
 {
     Fleet fleet(1, 6);
-    fleet.nodes[3].own = {};
+    fleet.nodes[3].localLoad = {};
     fleet.run(Milliseconds(1000));
     BOOST_TEST(fleet.nodes[0].targets.count("vm-0-3") == 0U);
-    fleet.nodes[3].own = {{1, 6}, Milliseconds(0)};
+    fleet.nodes[3].localLoad = {{1, 6}, Milliseconds(0)};
     fleet.run(Milliseconds(1000));
     BOOST_TEST(fleet.nodes[0].targets.at("vm-0-3").calls == 1U);
 }
--- a/autotests/unit/membershipfaulttest.cpp
+++ b/autotests/unit/membershipfaulttest.cpp
@@ -186,9 +186,9 @@
     }
 }
 
-// A corrupt or hostile datagram claims that a member is gone, with the highest possible
+// A corrupt or forged datagram claims that a member is gone, with the highest possible
 // incarnation. If it were accepted, the member could never refute it.
-BOOST_AUTO_TEST_CASE(ImplausibleRecordsAreRefused)
+BOOST_AUTO_TEST_CASE(InvalidRecordsAreRejected)
 {
     MembershipNetwork fleet(10);
     fleet.run(Settle);
--- a/autotests/unit/priorityinversionguardtest.cpp
+++ b/autotests/unit/priorityinversionguardtest.cpp
@@ -57,7 +57,7 @@
     submissions(8);
     BOOST_TEST(shedFraction(lookup) > 0.65);
     BOOST_TEST(shedFraction(lookup) < 0.85);
-    // Never the other way round.
+    // Submissions are never shed in favour of lookups.
     guard.setCalledServices(submit.name, {Rates});
     for (int i = 0; i < 20; ++i) {
         guard.callEnded(lookup, Rates, true, now);
--- a/autotests/unit/responseclasstest.cpp
+++ b/autotests/unit/responseclasstest.cpp
@@ -7,9 +7,9 @@
 
 namespace Galenahill {
 
-std::ostream &operator<<(std::ostream &stream, ResponseClass verdict)
+std::ostream &operator<<(std::ostream &stream, ResponseClass responseClass)
 {
-    return stream << static_cast<int>(verdict);
+    return stream << static_cast<int>(responseClass);
 }
 
 }
@@ -27,7 +27,7 @@
 }
 
 // A faulty target, or another process at its address, sends bytes that parse as a success. Only
-// the target's origin marker tells them apart; passed on, the caller would take them for the
+// the target's origin marker distinguishes them; passed on, the caller would take them for the
 // result of its call.
 BOOST_AUTO_TEST_CASE(SuccessWithoutOriginMarkerIsUntrusted)
 {
@@ -37,7 +37,7 @@
     BOOST_TEST(classifyResponse(headerNames(), {.status = 404, .hasOriginMarker = true}) == ResponseClass::Answered);
 }
 
-// A target that sheds load, or is not the intended one, states that it did not execute the call.
+// A target that is overloaded, or is not the intended one, states that it did not execute the call.
 // Nothing else proves that, in particular not a status of 503 alone.
 BOOST_AUTO_TEST_CASE(OnlyTheTargetsStatementProvesNonExecution)
 {
--- a/autotests/unit/revisionpullertest.cpp
+++ b/autotests/unit/revisionpullertest.cpp
@@ -56,7 +56,7 @@
     BOOST_TEST(asked.empty());
 }
 
-// Revision 6 is advertised while 5 is being pulled: the end of that pull doesn't end the search.
+// Revision 6 is advertised while 5 is being pulled: it is pulled as soon as that pull ends.
 BOOST_FIXTURE_TEST_CASE(NewerRevisionIsPulledAfterwards, Fixture)
 {
     puller.revisionAdvertised(first, Revision(5), now);
@@ -69,9 +69,9 @@
     BOOST_TEST(asked.size() == 2U);
 }
 
-// A member advertises a revision that the node's own store watch is about to deliver. A watcher waits for
-// its watch during the grace period and pulls only afterwards, since the watch may hang. A node
-// that doesn't watch pulls at once.
+// A member advertises a revision that the node's own store watch is about to deliver. A watcher
+// waits for its watch during the grace period and pulls only afterwards, since the watch may hang.
+// A node that doesn't watch pulls at once.
 BOOST_FIXTURE_TEST_CASE(WatcherPullsAfterTheGracePeriod, Fixture)
 {
     bool watches = true;
--- a/autotests/unit/servicelevelmetricstest.cpp
+++ b/autotests/unit/servicelevelmetricstest.cpp
@@ -31,7 +31,7 @@
 }
 
 // Once the longest window has passed, the earlier counts are discarded. If they stayed, they would
-// show a burn that ended long ago.
+// show a burn rate that ended long ago.
 BOOST_AUTO_TEST_CASE(DiscardsCountsOlderThanTheLongestWindow)
 {
     SlidingWindowCounts counts;
--- a/autotests/unit/targetpickertest.cpp
+++ b/autotests/unit/targetpickertest.cpp
@@ -114,7 +114,7 @@
     }
 }
 
-// A shared fault (the network, or a call that breaks every target) makes three of four targets
+// A shared failure (the network, or a call that breaks every target) makes three of four targets
 // fail. If all three stayed ejected, the last one would get four times its load and fail as well,
 // so none is.
 BOOST_AUTO_TEST_CASE(neverEjectsMostOfAService)
--- a/autotests/unit/targetregistrationtest.cpp
+++ b/autotests/unit/targetregistrationtest.cpp
@@ -11,18 +11,18 @@
     return stream << toString(state);
 }
 
-std::ostream &operator<<(std::ostream &stream, TargetRegistration::RegistrationResult verdict)
+std::ostream &operator<<(std::ostream &stream, TargetRegistration::RegistrationResult result)
 {
-    return stream << static_cast<int>(verdict);
+    return stream << static_cast<int>(result);
 }
 
 }
 
 namespace {
 
-using Verdict = TargetRegistration::RegistrationResult;
+using RegistrationResult = TargetRegistration::RegistrationResult;
 
-const Endpoint Here{"10.1.0.8", 8301};
+const Endpoint TargetAddress{"10.1.0.8", 8301};
 const TimePoint Start{Milliseconds(1000000)};
 
 TargetAnnouncement announcement(const std::string &id, std::int64_t startedAt, std::uint64_t sequence, bool draining = false)
@@ -32,7 +32,7 @@
     target.startedAt = startedAt;
     target.sequence = sequence;
     target.service = ServiceName("ventas");
-    target.address = Here;
+    target.address = TargetAddress;
     target.slots = 6;
     target.draining = draining;
     return target;
@@ -40,21 +40,21 @@
 
 TargetRegistration registration(bool firstStart)
 {
-    return TargetRegistration({.address = Here, .service = ServiceName("ventas"), .firstStart = firstStart});
+    return TargetRegistration({.address = TargetAddress, .service = ServiceName("ventas"), .firstStart = firstStart});
 }
 
 }
 
 // A target announces that it drains, and the node acknowledges it. An earlier heartbeat, delayed by
-// a partition, arrives afterwards. If it were accepted, calls would be sent to a target that was
-// promised no more.
+// a partition, arrives afterwards. If it were accepted, calls would be sent to a target that
+// expects none after the acknowledgement.
 BOOST_AUTO_TEST_CASE(LeavingIsFinalForOneStart)
 {
     auto target = registration(true);
     target.targetAnnounced(announcement("i-1", 100, 1), Start);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
     target.targetAnnounced(announcement("i-1", 100, 3, true), Start);
-    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 2), Start) == Verdict::Stale);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 2), Start) == RegistrationResult::Stale);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
     target.targetAnnounced(announcement("i-1", 100, 4), Start);
     BOOST_TEST(target.state(Start) == MemberState::Draining);
@@ -70,17 +70,17 @@
     BOOST_TEST(target.state(Start) == MemberState::Draining);
 }
 
-// A target restarts under its previous id: its sequence starts anew, and only the start time tells
-// the two starts apart. Late messages of the earlier start change nothing.
+// A target restarts under its previous id: its sequence starts anew, and only the start time
+// distinguishes the two starts. Late messages of the earlier start change nothing.
 BOOST_AUTO_TEST_CASE(LaterStartReplacesAnEarlierOneOfTheSameId)
 {
     auto target = registration(true);
     target.targetAnnounced(announcement("i-1", 100, 50), Start);
     target.leaveAnnounced("i-1", 100);
-    BOOST_TEST(target.targetAnnounced(announcement("i-1", 200, 1), Start) == Verdict::Accepted);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 200, 1), Start) == RegistrationResult::Accepted);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
-    BOOST_TEST(target.leaveAnnounced("i-1", 100) == Verdict::Stale);
-    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 51, true), Start) == Verdict::Stale);
+    BOOST_TEST(target.leaveAnnounced("i-1", 100) == RegistrationResult::Stale);
+    BOOST_TEST(target.targetAnnounced(announcement("i-1", 100, 51, true), Start) == RegistrationResult::Stale);
     BOOST_TEST(target.state(Start) == MemberState::Ready);
 }
 
@@ -111,7 +111,7 @@
 
 // A crashed target sends nothing; the node notices by the heartbeat timeout or by a refused
 // connection, and accepts it again with its next heartbeat.
-BOOST_AUTO_TEST_CASE(SilentAndLostTargetsAreReadyWithTheirNextHeartbeat)
+BOOST_AUTO_TEST_CASE(TimedOutAndUnreachableTargetsAreReadyWithTheirNextHeartbeat)
 {
     auto target = registration(true);
     target.targetAnnounced(announcement("i-1", 100, 1), Start);
@@ -128,11 +128,11 @@
 BOOST_AUTO_TEST_CASE(TargetOfAnotherVmIsForeign)
 {
     auto target = registration(true);
-    auto elsewhere = announcement("i-1", 100, 1);
-    elsewhere.address.port = 9000;
-    BOOST_TEST(target.targetAnnounced(elsewhere, Start) == Verdict::Foreign);
-    auto other = announcement("i-1", 100, 1);
-    other.service = ServiceName("taller");
-    BOOST_TEST(target.targetAnnounced(other, Start) == Verdict::Foreign);
+    auto otherAddress = announcement("i-1", 100, 1);
+    otherAddress.address.port = 9000;
+    BOOST_TEST(target.targetAnnounced(otherAddress, Start) == RegistrationResult::Foreign);
+    auto otherService = announcement("i-1", 100, 1);
+    otherService.service = ServiceName("taller");
+    BOOST_TEST(target.targetAnnounced(otherService, Start) == RegistrationResult::Foreign);
     BOOST_TEST(target.state(Start) == MemberState::Starting);
 }
--- a/autotests/unit/targetspreadtest.cpp
+++ b/autotests/unit/targetspreadtest.cpp
@@ -97,15 +97,15 @@
 // Guards against a fleet that depends on load reports.
 BOOST_AUTO_TEST_CASE(WithoutReportsIngressesRelyOnResponses)
 {
-    auto silent = largeFleet(1);
-    silent.reportsLostFrom = Milliseconds(0);
-    auto none = largeFleet(1);
-    none.exchange = false;
-    BOOST_TEST(simulate(silent).served() >= simulate(none).served() - 0.01);
-
-    auto lost = largeFleet(1);
-    lost.reportsLostFrom = Milliseconds(1500);
-    BOOST_TEST(simulate(lost).served() >= simulate(none).served() - 0.01);
+    auto withoutReports = largeFleet(1);
+    withoutReports.reportsLostFrom = Milliseconds(0);
+    auto withoutExchange = largeFleet(1);
+    withoutExchange.exchange = false;
+    BOOST_TEST(simulate(withoutReports).served() >= simulate(withoutExchange).served() - 0.01);
+
+    auto withReportsLost = largeFleet(1);
+    withReportsLost.reportsLostFrom = Milliseconds(1500);
+    BOOST_TEST(simulate(withReportsLost).served() >= simulate(withoutExchange).served() - 0.01);
 }
 
 BOOST_AUTO_TEST_CASE(OtherServicesAndFleetSizesAreServedAsWell)
--- a/autotests/unit/trafficsplittest.cpp
+++ b/autotests/unit/trafficsplittest.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-// The operator swaps the weights. Arrears from the old weights must not count under the new ones.
+// The operator swaps the weights. Current weights from before the swap must not count after it.
 BOOST_AUTO_TEST_CASE(FollowsNewWeightsAtOnce)
 {
     TrafficSplit split;
--- a/src/core/calls/admissioncontroller.cpp
+++ b/src/core/calls/admissioncontroller.cpp
@@ -23,13 +23,13 @@
 constexpr int BaselineDecay = 1000;
 constexpr int AverageWeight = 8;
 
-// How long the slot of a timed-out or cancelled call stays taken. The closed connection tells the
+// How long the slot of a timed-out or cancelled call stays taken. The closed connection causes the
 // target to cancel the call, which frees the slot soon if the target still responds to other
 // calls; one that responds to none may need longer.
 constexpr Milliseconds CancelHold{20};
 constexpr Milliseconds StallHold{1000};
 
-// Most routes whose latency is kept; a configuration may have many more.
+// Maximum number of routes whose latency is kept; a configuration may have many more.
 constexpr std::size_t MaxBaselines = 256;
 
 }
@@ -181,8 +181,8 @@
 
 Microseconds AdmissionController::lowestBaseline() const
 {
-    const auto least = std::min_element(m_baselines.begin(), m_baselines.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
-    return least == m_baselines.end() ? Microseconds(0) : least->second;
+    const auto lowest = std::min_element(m_baselines.begin(), m_baselines.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
+    return lowest == m_baselines.end() ? Microseconds(0) : lowest->second;
 }
 
 Microseconds AdmissionController::averageLatency() const
--- a/src/core/calls/attempttimeoutpolicy.cpp
+++ b/src/core/calls/attempttimeoutpolicy.cpp
@@ -11,7 +11,7 @@
 constexpr int AverageFactor = 3;
 constexpr int AverageWeight = 16;
 
-// Most routes whose latency is kept; a configuration may have many more.
+// Maximum number of routes whose latency is kept; a configuration may have many more.
 constexpr std::size_t MaxRoutes = 1024;
 
 }
--- a/src/core/calls/callpolicy.cpp
+++ b/src/core/calls/callpolicy.cpp
@@ -9,7 +9,7 @@
 
 CallPolicy CallPolicy::withToggled(const std::string &names)
 {
-    static const std::map<std::string, bool CallPolicy::*> decisions = {
+    static const std::map<std::string, bool CallPolicy::*> features = {
         {"round-robin", &CallPolicy::leastLoaded},
         {"no-admission", &CallPolicy::admission},
         {"no-adaptive", &CallPolicy::adaptive},
@@ -24,7 +24,7 @@
     std::vector<std::string> items;
     boost::split(items, names, boost::is_any_of(","));
     for (const auto &item : items) {
-        if (const auto found = decisions.find(item); found != decisions.end()) {
+        if (const auto found = features.find(item); found != features.end()) {
             policy.*found->second = !(policy.*found->second);
         }
     }
--- a/src/core/calls/callqueue.cpp
+++ b/src/core/calls/callqueue.cpp
@@ -17,9 +17,9 @@
         return std::nullopt;
     }
     if (m_options.byUrgency) {
-        const auto least = std::max_element(m_waiting.begin(), m_waiting.end(), [](const auto &a, const auto &b) { return a.urgency < b.urgency; });
-        const auto rejected = least->ticket;
-        m_waiting.erase(least);
+        const auto leastUrgent = std::max_element(m_waiting.begin(), m_waiting.end(), [](const auto &a, const auto &b) { return a.urgency < b.urgency; });
+        const auto rejected = leastUrgent->ticket;
+        m_waiting.erase(leastUrgent);
         return rejected;
     }
     // The newest call of the route with the most queued calls is rejected, so that those that have
--- a/src/core/calls/latecallfilter.h
+++ b/src/core/calls/latecallfilter.h
@@ -5,7 +5,7 @@
 namespace Galenahill {
 
 // Rejects calls offered to a target that has free slots but is too slow to meet their objectives,
-// such as one that takes ten times its usual latency for some seconds. By its free slots alone it
+// such as one that takes ten times its average latency for some seconds. By its free slots alone it
 // looks better than its busy peers, and would get its full share of the calls only to respond late.
 class LateCallFilter
 {
--- a/src/core/calls/offerorder.cpp
+++ b/src/core/calls/offerorder.cpp
@@ -16,13 +16,13 @@
 
 }
 
-Offer nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferOptions &terms, TimePoint now)
+Offer nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferOptions &options, TimePoint now)
 {
     if (targets.size() > 1 && history.offeredWithoutWaiting.size() < MaxUnqueuedOffers) {
-        const auto *first = history.offeredWithoutWaiting.empty() ? terms.preferredTarget : nullptr;
-        const auto *target = first != nullptr ? first : picker.selectForQueueing(targets, history.offeredWithoutWaiting, now);
-        const bool isRemote = target != nullptr && target->dataCentre != terms.dataCentre;
-        if (target != nullptr && (terms.offerRemoteBeforeQueueing || !isRemote) && picker.mayHaveFreeSlot(target->name, now)) {
+        const auto *preferred = history.offeredWithoutWaiting.empty() ? options.preferredTarget : nullptr;
+        const auto *target = preferred != nullptr ? preferred : picker.selectForQueueing(targets, history.offeredWithoutWaiting, now);
+        const bool isRemote = target != nullptr && target->dataCentre != options.dataCentre;
+        if (target != nullptr && (options.offerRemoteBeforeQueueing || !isRemote) && picker.mayHaveFreeSlot(target->name, now)) {
             history.offeredWithoutWaiting.push_back(target->name);
             return {target, false};
         }
--- a/src/core/calls/offerorder.h
+++ b/src/core/calls/offerorder.h
@@ -38,6 +38,6 @@
 // short expected wait come first. The call is offered without waiting while a slot seems free,
 // then it waits where the expected wait is shortest, and at last it overflows to remote data
 // centres that are known to have free slots.
-Offer nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferOptions &terms, TimePoint now);
+Offer nextOffer(TargetPicker &picker, const std::vector<MemberRecord> &targets, OfferHistory &history, const OfferOptions &options, TimePoint now);
 
 }
--- a/src/core/calls/priorityinversionguard.cpp
+++ b/src/core/calls/priorityinversionguard.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Most routes and services that are kept; a configuration may have many more, of which few are
-// in use at a time.
+// Maximum number of routes and of services that are kept; a configuration may have many more, of
+// which few are in use at a time.
 constexpr std::size_t MaxEntries = 256;
 
 template <typename Map>
@@ -73,12 +73,12 @@
         return false;
     }
     const auto found = m_rejectionsByRoute.find(route.name);
-    const auto ownRatio = found == m_rejectionsByRoute.end() ? 0 : found->second.value(now);
-    if (ownRatio >= desired) {
+    const auto routeRatio = found == m_rejectionsByRoute.end() ? 0 : found->second.value(now);
+    if (routeRatio >= desired) {
         return false;
     }
     // Calls that are not shed are rejected as often as before.
-    return std::uniform_real_distribution<double>(0, 1)(m_random) < (desired - ownRatio) / (1 - ownRatio);
+    return std::uniform_real_distribution<double>(0, 1)(m_random) < (desired - routeRatio) / (1 - routeRatio);
 }
 
 }
--- a/src/core/calls/responseclass.h
+++ b/src/core/calls/responseclass.h
@@ -16,7 +16,7 @@
     Untrusted,
 };
 
-// The parts of a response that decide the verdict.
+// The parts of a response that decide its class.
 struct ResponseFacts
 {
     unsigned status = 0;
@@ -27,7 +27,7 @@
 };
 
 // Classifies a complete response. If the header names define no origin marker, every response
-// counts as the target's own.
+// counts as produced by the target.
 ResponseClass classifyResponse(const CallHeaderNames &headerNames, const ResponseFacts &facts);
 
 }
--- a/src/core/calls/retrybudget.h
+++ b/src/core/calls/retrybudget.h
@@ -13,7 +13,7 @@
     {
         // Tokens that one call adds; a retry takes one token.
         double tokensPerCall = 0.1;
-        // Most tokens that can be accumulated; also the number at start.
+        // Maximum number of accumulated tokens; also the number at start.
         double maxTokens = 20;
     };
 
--- a/src/core/calls/routingview.cpp
+++ b/src/core/calls/routingview.cpp
@@ -27,15 +27,15 @@
     }
     using Mode = VersionRule::Mode;
     const auto &[version, mode, share, chosen] = rule->second;
-    const bool ofVersion = member.version == version;
-    if (ofVersion && mode == Mode::Canary) {
+    const bool hasVersion = member.version == version;
+    if (hasVersion && mode == Mode::Canary) {
         auto &canary = canaries[member.service];
         canary.version = version;
         canary.share = share;
         if (chosen.empty() || std::find(chosen.begin(), chosen.end(), member.name) != chosen.end()) {
             canary.targets.push_back(member);
         }
-    } else if (ofVersion == (mode == Mode::Only)) {
+    } else if (hasVersion == (mode == Mode::Only)) {
         targets[member.service].push_back(member);
     }
 }
@@ -46,15 +46,15 @@
     auto view = std::make_shared<RoutingView>();
     std::unordered_set<ServiceName> hasTargets;
     for (const auto &member : members) {
-        const bool takesCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
-        if (takesCalls && config && config->snapshot->service(member.service) != nullptr) {
+        const bool acceptsCalls = member.state == MemberState::Ready || member.state == MemberState::Suspect;
+        if (acceptsCalls && config && config->snapshot->service(member.service) != nullptr) {
             view->add(member, rules);
             hasTargets.insert(member.service);
         }
     }
     // Members that were declared gone but did not leave are the last resort of a service without other
-    // targets: a mass loss is more often a network fault than the end of all targets, and a call to a
-    // dead target is rejected as not executed.
+    // targets: a mass loss is more often a network failure than the end of all targets, and a call to
+    // a dead target is rejected as not executed.
     for (const auto &member : members) {
         const bool lastResort = member.state == MemberState::Gone && config && config->snapshot->service(member.service) != nullptr;
         if (lastResort && !hasTargets.contains(member.service)) {
--- a/src/core/calls/servicetimes.cpp
+++ b/src/core/calls/servicetimes.cpp
@@ -12,7 +12,7 @@
 // calls, and is not distorted by one call that takes three times as long.
 constexpr int Weight = 8;
 
-// Most routes whose latency is kept; a configuration may have many more.
+// Maximum number of routes whose latency is kept; a configuration may have many more.
 constexpr std::size_t MaxRoutes = 256;
 
 void updateAverage(Microseconds &average, Microseconds time)
--- a/src/core/calls/targetpicker.cpp
+++ b/src/core/calls/targetpicker.cpp
@@ -12,7 +12,7 @@
 constexpr double FailureRateWeight = 24;
 
 // If the service's failure rate makes a run of failures less likely than this, the run counts as
-// the target's own fault.
+// a failure of the target itself.
 constexpr double ChanceThreshold = 0.03;
 
 // Caps the failure rate, which bounds the run of failures that ejects a target when nearly all calls fail.
@@ -64,12 +64,12 @@
         (isUnavailable ? unavailable : isEjected ? ejected : healthy).push_back(&target);
     }
     // If more than half are ejected, the cause is more likely shared (the network, this node, a bad
-    // call) than their own, and the few remaining targets would be overloaded.
+    // call) than in the targets themselves, and the few remaining targets would be overloaded.
     if (ejectedCount * 2 > targets.size()) {
         healthy.insert(healthy.end(), ejected.begin(), ejected.end());
     }
-    // An ejected target is better than none: if all are ejected, a fault that affects every target for
-    // a moment would become an outage.
+    // An ejected target is better than none: if all are ejected, a failure that affects every target
+    // for a moment would become an outage.
     return !healthy.empty() ? healthy : !ejected.empty() ? ejected : unavailable;
 }
 
--- a/src/core/calls/trafficsplit.cpp
+++ b/src/core/calls/trafficsplit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Most routes whose weights are kept; a configuration may have many more.
+// Maximum number of routes whose weights are kept; a configuration may have many more.
 constexpr std::size_t MaxRoutes = 1024;
 
 }
--- a/src/core/fleet/clockstepdetector.cpp
+++ b/src/core/fleet/clockstepdetector.cpp
@@ -9,12 +9,12 @@
 
 }
 
-Milliseconds ClockStepDetector::observe(TimeOfDay timeOfDay, TimePoint steady)
+Milliseconds ClockStepDetector::observe(TimeOfDay wallClock, TimePoint monotonic)
 {
-    const bool first = m_timeOfDay == TimeOfDay();
-    const auto drift = std::chrono::duration_cast<Milliseconds>((timeOfDay - m_timeOfDay) - (steady - m_steady));
-    m_timeOfDay = timeOfDay;
-    m_steady = steady;
+    const bool first = m_wallClock == TimeOfDay();
+    const auto drift = std::chrono::duration_cast<Milliseconds>((wallClock - m_wallClock) - (monotonic - m_monotonic));
+    m_wallClock = wallClock;
+    m_monotonic = monotonic;
     if (first || std::chrono::abs(drift) < MinStep) {
         return Milliseconds(0);
     }
--- a/src/core/fleet/loadexchange.cpp
+++ b/src/core/fleet/loadexchange.cpp
@@ -187,16 +187,19 @@
 // and a report would keep calls away from a target that has just become ready.
 void LoadExchange::Private::recordLocalLoad(TimePoint now)
 {
-    const auto own = options.localTargetLoad();
-    if (own.load.limit == 0) {
+    const auto localLoad = options.localTargetLoad();
+    if (localLoad.load.limit == 0) {
         targets.erase(options.self.name);
         return;
     }
     const auto member = members.find(options.self.name);
     const auto incarnation = member == members.end() ? options.self.incarnation : member->second.incarnation;
-    const auto wait = std::clamp<std::int64_t>(own.wait.count(), 0, MaxWaitMs);
-    targets[options.self.name] = {
-        {.target = options.self.name, .incarnation = incarnation, .calls = own.load.calls, .limit = own.load.limit, .waitMs = static_cast<std::uint32_t>(wait)},
+    const auto wait = std::clamp<std::int64_t>(localLoad.wait.count(), 0, MaxWaitMs);
+    targets[options.self.name] = {{.target = options.self.name,
+                                      .incarnation = incarnation,
+                                      .calls = localLoad.load.calls,
+                                      .limit = localLoad.load.limit,
+                                      .waitMs = static_cast<std::uint32_t>(wait)},
         now};
 }
 
--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -29,14 +29,14 @@
     explicit Private(Options given)
         : options(std::move(given))
         , random(options.seed)
-        , peers(members, random, {.dataCentre = options.self.dataCentre, .bridgesPerDataCentre = options.bridgesPerDataCentre})
+        , peerSelector(members, random, {.dataCentre = options.self.dataCentre, .bridgesPerDataCentre = options.bridgesPerDataCentre})
     {
     }
 
     Options options;
     std::mt19937_64 random;
     MemberTable members;
-    PeerSelector peers;
+    PeerSelector peerSelector;
     UpdateQueue updateQueue;
     std::vector<NodeName> probeOrder;
     std::optional<Probe> probe;
@@ -114,8 +114,8 @@
 // Returns whether the record changed what is known of another member.
 bool Membership::Private::applyRecord(const MemberRecord &record, TimePoint now)
 {
-    // A corrupt or hostile datagram: an incarnation that can't be exceeded would keep a member out
-    // for good.
+    // The datagram may be corrupt or forged: a member can't refute a record whose incarnation it
+    // can't exceed, and would stay excluded for good.
     if (!isValidRecord(record)) {
         return false;
     }
@@ -254,7 +254,7 @@
     if (!probe->indirect && now - probe->sent >= options.probeTimeout) {
         probe->indirect = true;
         const auto canProbe = [&](const Member &member) { return member.record.name != probe->name && !isGoneOrLeft(member.record); };
-        for (const auto &peer : peers.selectAny(options.indirectProbes, canProbe)) {
+        for (const auto &peer : peerSelector.selectAny(options.indirectProbes, canProbe)) {
             sendTo(peer.control(), {.kind = GossipKind::PingRequest, .sequence = probe->sequence, .subject = found->record.control()});
         }
     }
@@ -280,7 +280,7 @@
         return;
     }
     lastReconnect = now;
-    for (const auto &peer : peers.selectAny(1, [](const Member &member) { return isGoneOrLeft(member.record); })) {
+    for (const auto &peer : peerSelector.selectAny(1, [](const Member &member) { return isGoneOrLeft(member.record); })) {
         sendTo(peer.control(), {.kind = GossipKind::Ping});
     }
 }
@@ -363,7 +363,7 @@
     const auto revision = options.revision();
     const auto lacks = [&](const Member &member) { return !isGoneOrLeft(member.record) && member.revision < revision; };
     --revisionRoundsLeft;
-    auto recipients = peers.selectMostlyLocal(options.fanOut, lacks);
+    auto recipients = peerSelector.selectMostlyLocal(options.fanOut, lacks);
     if (revisionRoundsLeft == 0) {
         const auto next = successorsWithout(revision);
         recipients.insert(recipients.end(), next.begin(), next.end());
@@ -386,7 +386,7 @@
         return;
     }
     const auto updates = updateQueue.nextBatch(options.maxUpdates);
-    for (const auto &peer : peers.selectMostlyLocal(options.fanOut, [](const Member &member) { return !isGoneOrLeft(member.record); })) {
+    for (const auto &peer : peerSelector.selectMostlyLocal(options.fanOut, [](const Member &member) { return !isGoneOrLeft(member.record); })) {
         sendTo(peer.control(), {.kind = GossipKind::Update, .updates = updates});
     }
 }
@@ -404,9 +404,9 @@
     d->gossip(now);
 }
 
-// Records of members known here aren't passed on: those members send them themselves. If each
-// starting node passed its whole list on, the lists would be most of the traffic when a whole fleet
-// restarts.
+// Records of members that this node knows aren't passed on: those members send them themselves. If
+// each starting node passed its whole list on, the lists would be most of the traffic when a whole
+// fleet restarts.
 void Membership::merge(const std::vector<MemberRecord> &records, TimePoint now)
 {
     for (const auto &record : records) {
--- a/src/core/fleet/membership.h
+++ b/src/core/fleet/membership.h
@@ -67,8 +67,8 @@
     // Sends due probes and updates, and expires suspects; call it every 50 to 100 ms.
     void tick(TimePoint now);
 
-    // Merges the member list of a contact, and passes on members that were unknown here: they may
-    // belong to a group that no other member knows.
+    // Merges the member list of a contact, and passes on members that this node didn't know: they
+    // may belong to a group that no other member knows.
     void merge(const std::vector<MemberRecord> &records, TimePoint now);
 
     // Merges the store's list of all members. The records aren't passed on, since every member
@@ -90,7 +90,7 @@
     // The members that aren't gone and haven't left, including this one.
     std::vector<MemberRecord> live() const;
 
-    // Whether no datagram was received for some time: then the fault is more likely at this node
+    // Whether no datagram was received for some time: then the cause is more likely at this node
     // than at the others.
     bool isolated(TimePoint now) const;
 
--- a/src/core/fleet/peerselector.h
+++ b/src/core/fleet/peerselector.h
@@ -29,7 +29,7 @@
 
     // Random members of the local data centre that meet the condition, one of them now and then
     // replaced by a member of another data centre. If the local data centre has no more than
-    // `count` members, other ones fill the rest.
+    // `count` members, members of other data centres fill the rest.
     std::vector<MemberRecord> selectMostlyLocal(std::size_t count, const Condition &condition) const;
 
 private:
--- a/src/core/fleet/rendezvous.cpp
+++ b/src/core/fleet/rendezvous.cpp
@@ -17,19 +17,19 @@
 
 bool holdsRole(const std::string &role, std::size_t count, const MemberRecord &self, const std::vector<MemberRecord> &live)
 {
-    const auto own = weight(role, self);
+    const auto selfWeight = weight(role, self);
     const auto before = std::count_if(live.begin(), live.end(), [&](const MemberRecord &record) {
         const bool candidate = record.dataCentre == self.dataCentre && record.name != self.name && record.state <= MemberState::Draining;
-        return candidate && weight(role, record) > own;
+        return candidate && weight(role, record) > selfWeight;
     });
     return static_cast<std::size_t>(before) < count;
 }
 
 std::size_t rendezvousRank(const std::string &role, const MemberRecord &self, const std::vector<MemberRecord> &members)
 {
-    const auto own = weight(role, self);
-    return static_cast<std::size_t>(
-        std::count_if(members.begin(), members.end(), [&](const MemberRecord &record) { return record.name != self.name && weight(role, record) > own; }));
+    const auto selfWeight = weight(role, self);
+    return static_cast<std::size_t>(std::count_if(
+        members.begin(), members.end(), [&](const MemberRecord &record) { return record.name != self.name && weight(role, record) > selfWeight; }));
 }
 
 }
--- a/src/core/fleet/targetregistration.cpp
+++ b/src/core/fleet/targetregistration.cpp
@@ -22,7 +22,7 @@
         const bool leftBeforeAnnounced = m_leftBeforeAnnounced == target.id;
         m_target = target;
         m_leaving = target.draining || leftBeforeAnnounced;
-        m_connectionLost = false;
+        m_targetUnreachable = false;
         m_lastContact = now;
         return RegistrationResult::Accepted;
     }
@@ -31,13 +31,13 @@
         return RegistrationResult::Stale;
     }
     // Leaving is final for one start: a delayed earlier announcement would otherwise make a target
-    // ready again that was promised no more calls.
+    // ready again although the node has acknowledged that it leaves.
     m_leaving = m_leaving || target.draining;
     if (target.sequence <= m_target->sequence) {
         return RegistrationResult::Stale;
     }
     m_target = target;
-    m_connectionLost = false;
+    m_targetUnreachable = false;
     m_lastContact = now;
     return RegistrationResult::Accepted;
 }
@@ -68,11 +68,11 @@
 
 void TargetRegistration::targetUnreachable()
 {
-    m_connectionLost = true;
+    m_targetUnreachable = true;
 }
 
-// A restarted node doesn't know whether its previous process was told that the target leaves. An
-// announcement alone doesn't show it: a delayed one may be older than the leaving message.
+// A restarted node doesn't know whether its previous process received the target's leaving message.
+// An announcement alone doesn't show it: a delayed one may be older than that message.
 bool TargetRegistration::needsHealthCheck() const
 {
     return m_target && !m_trusted && !m_leaving;
@@ -87,7 +87,7 @@
         return MemberState::Draining;
     }
     const bool timedOut = now - m_lastContact > m_options.heartbeatTimeout;
-    return !m_trusted || m_connectionLost || timedOut ? MemberState::Starting : MemberState::Ready;
+    return !m_trusted || m_targetUnreachable || timedOut ? MemberState::Starting : MemberState::Ready;
 }
 
 const std::optional<TargetAnnouncement> &TargetRegistration::target() const
--- a/src/core/fleet/targetregistration.h
+++ b/src/core/fleet/targetregistration.h
@@ -42,7 +42,7 @@
         Endpoint address;
         ServiceName service;
         // Whether the whole fleet starts for the first time, so that no earlier process of this
-        // node can have been told that the target leaves.
+        // node can have received the target's leaving message.
         bool firstStart = false;
         // Time without an announcement after which the target counts as not ready.
         Milliseconds heartbeatTimeout{6000};
@@ -87,7 +87,7 @@
     // Id of a target that left before this process had an announcement of it; empty for none.
     std::string m_leftBeforeAnnounced;
     bool m_leaving = false;
-    bool m_connectionLost = false;
+    bool m_targetUnreachable = false;
     bool m_trusted = false;
     TimePoint m_lastContact;
 };
--- a/src/core/fleet/watcherselection.cpp
+++ b/src/core/fleet/watcherselection.cpp
@@ -31,17 +31,17 @@
         fast[member.dataCentre] += isFast(member) ? 1 : 0;
     }
     const auto share = maxTotal / std::max<std::size_t>(fast.size(), 1);
-    const auto watchersEach = std::min(maxPerDataCentre, std::max(share, minPerDataCentre));
+    const auto watchersPerDataCentre = std::min(maxPerDataCentre, std::max(share, minPerDataCentre));
     std::size_t watchers = 0;
     for (const auto &[dataCentre, count] : fast) {
-        watchers += std::min(count, watchersEach);
+        watchers += std::min(count, watchersPerDataCentre);
     }
     if (watchers < sufficientFastWatchers) {
-        return holdsRole("watch", watchersEach, self, healthy);
+        return holdsRole("watch", watchersPerDataCentre, self, healthy);
     }
     std::vector<MemberRecord> candidates;
     std::copy_if(healthy.begin(), healthy.end(), std::back_inserter(candidates), isFast);
-    return isFast(self) && holdsRole("watch", watchersEach, self, candidates);
+    return isFast(self) && holdsRole("watch", watchersPerDataCentre, self, candidates);
 }
 
 }
