--- a/autotests/support/fakeobjectstore.h
+++ b/autotests/support/fakeobjectstore.h
@@ -41,7 +41,7 @@
 
     Result<StoredObject> read(const std::string &key) override
     {
-        if (const auto error = fault("read", key)) {
+        if (const auto error = injectedError("read", key)) {
             return tl::unexpected(*error);
         }
         const auto found = objects.find(key);
@@ -50,7 +50,7 @@
 
     Result<ObjectVersion> write(const std::string &key, const std::string &value, ObjectVersion expected) override
     {
-        if (const auto error = fault("write", key)) {
+        if (const auto error = injectedError("write", key)) {
             return tl::unexpected(*error);
         }
         if (delays && delays(key)) {
@@ -73,7 +73,7 @@
 
     Result<void> remove(const std::string &key, ObjectVersion expected) override
     {
-        if (const auto error = fault("remove", key)) {
+        if (const auto error = injectedError("remove", key)) {
             return tl::unexpected(*error);
         }
         const auto found = objects.find(key);
@@ -86,7 +86,7 @@
 
     Result<std::vector<std::string>> list(const std::string &prefix) override
     {
-        if (const auto error = fault("list", prefix)) {
+        if (const auto error = injectedError("list", prefix)) {
             return tl::unexpected(*error);
         }
         std::vector<std::string> keys;
@@ -114,7 +114,7 @@
     };
     std::vector<DelayedWrite> m_delayed;
 
-    std::optional<Error> fault(const std::string &operation, const std::string &key)
+    std::optional<Error> injectedError(const std::string &operation, const std::string &key)
     {
         ++calls;
         return before ? before(operation, key) : std::nullopt;
--- a/autotests/support/rolloutfleet.cpp
+++ b/autotests/support/rolloutfleet.cpp
@@ -73,14 +73,14 @@
 {
     auto &node = m_nodes[i];
     ++node.record.incarnation;
-    node.control = std::make_unique<RolloutController>(RolloutController::Options{.self = node.record,
+    node.controller = std::make_unique<RolloutController>(RolloutController::Options{.self = node.record,
         .seed = m_options.seed * 1000 + i,
         .send = [this, i](const Endpoint &to, const RolloutReport &report) { send(i, to, report); },
         .targetIdle = [this, i] { return m_nodes[i].running.empty(); },
         .changed = [](const RolloutRecord &, const std::string &) {}});
     node.split = std::make_unique<VersionSplit>(m_options.seed * 1000 + i);
-    node.control->setLocalVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - timeSinceStart() : m_now);
-    node.control->setMembers(members(), m_now);
+    node.controller->setLocalVersion(node.record.version, isNew(i) ? m_now + std::chrono::seconds(5) - timeSinceStart() : m_now);
+    node.controller->setMembers(members(), m_now);
     node.read = ObjectVersion();
 }
 
@@ -123,17 +123,17 @@
     });
     m_datagrams.resize(m_datagrams.size() - due.size());
     for (const auto &datagram : due) {
-        m_nodes[datagram.to].control->receive(m_nodes[datagram.from].record.control(), datagram.report, m_now);
+        m_nodes[datagram.to].controller->receive(m_nodes[datagram.from].record.control(), datagram.report, m_now);
         updateRule(datagram.to);
     }
 }
 
 void RolloutFleet::updateRule(std::size_t node)
 {
-    const auto rules = m_nodes[node].control->rules(m_now);
+    const auto rules = m_nodes[node].controller->rules(m_now);
     const auto rule = rules.find(Service);
     m_nodes[node].rule = rule == rules.end() ? std::nullopt : std::optional(rule->second);
-    m_nodes[node].localRule = m_nodes[node].control->localRule(m_now);
+    m_nodes[node].localRule = m_nodes[node].controller->localRule(m_now);
 }
 
 bool RolloutFleet::accepts(std::size_t target, bool assigned) const
@@ -162,8 +162,8 @@
     for (std::size_t i = 0; i < count; ++i) {
         const auto target = first + (offset + i) % count;
         const auto &node = m_nodes[target];
-        const bool meant = chosen.empty() || std::find(chosen.begin(), chosen.end(), node.record.name) != chosen.end();
-        if (meant && node.running.size() < m_options.slots && accepts(target, assigned)) {
+        const bool isChosen = chosen.empty() || std::find(chosen.begin(), chosen.end(), node.record.name) != chosen.end();
+        if (isChosen && node.running.size() < m_options.slots && accepts(target, assigned)) {
             return target;
         }
     }
@@ -183,9 +183,9 @@
 {
     ++m_result.calls;
     const auto rule = m_nodes[ingress].rule.value_or(VersionRule{.mode = VersionRule::Mode::Excluded});
-    const bool trial = rule.mode == VersionRule::Mode::Canary;
+    const bool canary = rule.mode == VersionRule::Mode::Canary;
     const bool only = rule.mode == VersionRule::Mode::Only;
-    const bool assigned = m_seconds >= NewReadyAt && trial && m_nodes[ingress].split->next(Service, rule.share);
+    const bool assigned = m_seconds >= NewReadyAt && canary && m_nodes[ingress].split->next(Service, rule.share);
     auto target = assigned || only ? chooseTarget(true, assigned, rule.targets) : std::nullopt;
     if (!target && !only) {
         target = chooseTarget(false, false, {});
@@ -213,11 +213,11 @@
     const double speeds[] = {0.67, 1, 1, 2};
     const double cold = ofNew && m_seconds < NewWarmAt ? 2 : 1;
     const double work = std::lognormal_distribution<double>(-0.11, 0.47)(m_random);
-    const double wanted = m_options.routeMs[call.route] * work * speeds[target % 4] * cold * behaviour.slowdown;
+    const double latency = m_options.routeMs[call.route] * work * speeds[target % 4] * cold * behaviour.slowdown;
     const double timeout = 6 * m_options.routeMs[call.route];
     const bool fails = uniform() < behaviour.failureRate + 0.001;
-    call.how = fails ? TargetResult::Failed : wanted > timeout ? TargetResult::Abandoned : TargetResult::Answered;
-    call.time = Milliseconds(static_cast<std::int64_t>(std::min(wanted, timeout)));
+    call.result = fails ? TargetResult::Failed : latency > timeout ? TargetResult::Abandoned : TargetResult::Answered;
+    call.time = Milliseconds(static_cast<std::int64_t>(std::min(latency, timeout)));
     call.end = m_now + call.time;
     call.bad = ofNew && (fails || behaviour.slowdown > 2);
     node.running.push_back(call);
@@ -234,7 +234,7 @@
             if (call.end > m_now) {
                 return false;
             }
-            node.control->callEnded(RouteName("route-" + std::to_string(call.route)), call.how, call.time, m_now);
+            node.controller->callEnded(RouteName("route-" + std::to_string(call.route)), call.result, call.time, m_now);
             m_result.badResponses += call.bad ? 1 : 0;
             if (m_result.badResponses >= 50 && !m_fiftiethBadAt) {
                 m_fiftiethBadAt = m_seconds;
@@ -260,10 +260,10 @@
             continue;
         }
         if (joined) {
-            node.control->setMembers(all, m_now);
+            node.controller->setMembers(all, m_now);
         }
         readStore(i);
-        node.control->tick(m_now);
+        node.controller->tick(m_now);
         writeStore(i);
         updateRule(i);
     }
@@ -272,9 +272,9 @@
 void RolloutFleet::readStore(std::size_t i)
 {
     auto &node = m_nodes[i];
-    const bool reads = node.control->isEvaluator() && node.read != m_version && m_options.storeResponds(i, m_seconds);
+    const bool reads = node.controller->isEvaluator() && node.read != m_version && m_options.storeResponds(i, m_seconds);
     if (reads) {
-        node.control->specRead({m_spec, m_version, m_stage}, node.read == ObjectVersion(), m_now);
+        node.controller->specRead({m_spec, m_version, m_stage}, node.read == ObjectVersion(), m_now);
         node.read = m_version;
     }
 }
@@ -282,7 +282,7 @@
 void RolloutFleet::writeStore(std::size_t i)
 {
     auto &node = m_nodes[i];
-    for (const auto &write : node.control->dueWrites(m_now)) {
+    for (const auto &write : node.controller->dueWrites(m_now)) {
         if (!m_options.storeResponds(i, m_seconds)) {
             continue;
         }
@@ -294,7 +294,7 @@
         changeStore(write.stage);
         // One response in four is lost after the write.
         if (uniform() < 0.75) {
-            node.control->writeCompleted(write, m_version, m_now);
+            node.controller->writeCompleted(write, m_version, m_now);
         }
     }
 }
--- a/autotests/support/rolloutfleet.h
+++ b/autotests/support/rolloutfleet.h
@@ -56,7 +56,7 @@
         std::function<bool(std::size_t node, double seconds)> isPartitioned = [](std::size_t, double) { return false; };
         // Whether the node's process restarts at that time.
         std::function<bool(std::size_t node, double seconds)> restarts = [](std::size_t, double) { return false; };
-        // Call rate at that time as a multiple of the usual rate.
+        // Call rate at that time as a multiple of callsPerSecond.
         std::function<double(double seconds)> burst = [](double) { return 1.0; };
     };
 
@@ -99,14 +99,14 @@
         std::size_t route = 0;
         TimePoint end;
         Milliseconds time{0};
-        TargetResult how = TargetResult::Answered;
+        TargetResult result = TargetResult::Answered;
         bool bad = false;
     };
 
     struct Node
     {
         MemberRecord record;
-        std::unique_ptr<RolloutController> control;
+        std::unique_ptr<RolloutController> controller;
         std::unique_ptr<VersionSplit> split;
         std::vector<Call> running;
         std::optional<VersionRule> rule;
--- a/autotests/unit/acceptanceracetest.cpp
+++ b/autotests/unit/acceptanceracetest.cpp
@@ -15,8 +15,8 @@
 constexpr int StepsPerSeed = 250;
 
 // Three nodes accept applies and collect blobs over one store. Before each store call, another node
-// may run an apply or a collection of its own; each write may be lost before or after it took
-// effect, or take effect late. The same seed gives the same run.
+// may run an apply or a collection; each write may be lost before or after it took effect, or take
+// effect late. The same seed gives the same run.
 struct Race
 {
     explicit Race(unsigned seed)
--- a/autotests/unit/configrepositorytest.cpp
+++ b/autotests/unit/configrepositorytest.cpp
@@ -169,9 +169,8 @@
 }
 
 // The response to the head write is lost, and the write is still in flight when the head is read
-// back: the change isn't there yet. Reporting "not accepted" would be wrong a moment later. The
-// same write is sent again with the same expected version, so the late one finds another version
-// and fails.
+// back without the change. Reporting "not accepted" would be wrong a moment later. The same write
+// is sent again with the same expected version, so the late one finds another version and fails.
 BOOST_FIXTURE_TEST_CASE(ResolvesAWriteThatTakesEffectAfterTheReadBack, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -186,8 +185,8 @@
     BOOST_TEST(repository().readHead()->manifest.files.at(FileName("services.ini")) == contentHash(ServiceText + "; three\n"));
 }
 
-// No head write gets a response and all take effect later, while the operator was told "outcome
-// unknown" and retries with the same id. Exactly one of them takes effect.
+// No head write gets a response and all take effect later, while the operator got "outcome unknown"
+// and retries with the same id. Exactly one of them takes effect.
 BOOST_FIXTURE_TEST_CASE(RetryAfterUnknownOutcomeTakesEffectOnce, Fixture)
 {
     store.delays = [](const std::string &key) { return key == "config/head"; };
@@ -219,7 +218,7 @@
 }
 
 // The store writes a blob but the response is lost, every time. The apply must continue: the blob
-// is there, and nothing is accepted before the head is written.
+// is stored, and nothing is accepted before the head is written.
 BOOST_FIXTURE_TEST_CASE(ContinuesWhenTheResponseToABlobWriteIsLost, Fixture)
 {
     store.afterWrite = [](const std::string &key) { return key == "config/head" ? std::nullopt : std::optional(Error{ErrorKind::OutcomeUnknown, "lost"}); };
@@ -241,9 +240,9 @@
     BOOST_TEST((outcome.error().kind == ErrorKind::Unavailable));
 }
 
-// The store is restored to revision 1, and a node that knows of no other accepts its own revision
-// 2, while the rest serve another revision 2. Both operators were told "accepted", so the next
-// revision has both changes.
+// The store is restored to revision 1, and a node that knows of no other accepts a different
+// revision 2, while the rest serve another revision 2. Both operators got the response "accepted",
+// so the next revision has both changes.
 BOOST_FIXTURE_TEST_CASE(MergesTwoHistoriesWithTheSameNumber, Fixture)
 {
     apply("1", "services.ini", ServiceText);
@@ -265,7 +264,7 @@
 }
 
 // As above, but the forked change is of the same file. The revision in force is kept, and the
-// operator is told which accepted change isn't in it.
+// response names the accepted changes that aren't in it.
 BOOST_FIXTURE_TEST_CASE(NamesAForkedChangeThatIsLeftOut, Fixture)
 {
     apply("1", "services.ini", ServiceText);
--- a/autotests/unit/configvalidatortest.cpp
+++ b/autotests/unit/configvalidatortest.cpp
@@ -85,7 +85,7 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(RejectsPathsThatMeanSomethingElse)
+BOOST_AUTO_TEST_CASE(RejectsInvalidPaths)
 {
     BOOST_TEST(rejects(routeWith("path", "/ventas/"), "remove the slash at the end"));
     for (const std::string path : {"/ventas/*", "/ventas/{id}", "/ventas/:id", "^/ventas", "/ventas$", "/(a|b)", "\"/ventas\""}) {
@@ -239,12 +239,12 @@
 }
 
 // An operator has one route for all hosts and one for a single host on the same path. A call to
-// that host gets its own route, whichever is defined first.
+// that host gets the latter, whichever is defined first.
 BOOST_AUTO_TEST_CASE(HostSpecificRouteTakesPrecedence)
 {
-    auto own = Route;
-    own.replace(own.find("pedidos"), 7, "propios");
-    for (const auto &text : {fmt::format("{}{}host = a.example\n", Route, own), fmt::format("{}host = a.example\n{}", own, Route)}) {
+    auto hostRoute = Route;
+    hostRoute.replace(hostRoute.find("pedidos"), 7, "propios");
+    for (const auto &text : {fmt::format("{}{}host = a.example\n", Route, hostRoute), fmt::format("{}host = a.example\n{}", hostRoute, Route)}) {
         const auto snapshot = ConfigSnapshot::validate({{FileName("f.ini"), Service + text}});
         BOOST_REQUIRE_MESSAGE(snapshot.has_value(), snapshot.error().message);
         BOOST_TEST((*snapshot)->route("POST", "/ventas/1", "a.example")->name.value() == "propios");
--- a/autotests/unit/decoderfuzztest.cpp
+++ b/autotests/unit/decoderfuzztest.cpp
@@ -14,7 +14,7 @@
 
 constexpr int Rounds = 3000;
 
-// Enough for every well-formed input here, and far below what a forged length asks for.
+// Enough for every well-formed input of these tests, and much less than a forged length asks for.
 constexpr rlim_t MemoryLimit = rlim_t(1) << 30;
 
 // Changes the text in a few places: flipped bits, bytes from a small set that parsers treat
@@ -135,8 +135,8 @@
 
 }
 
-// CAF allocates memory for a text only after checking that the bytes are there; the tests with a
-// forged length guard that.
+// CAF allocates memory for a text only after checking that the input has as many bytes; the tests
+// with a forged length guard that.
 //
 // Data from files, the store and other nodes may be damaged or forged. No decoder may crash,
 // allocate memory according to a length that it was sent, or fail without a message. The address
--- a/autotests/unit/rolloutmodeltest.cpp
+++ b/autotests/unit/rolloutmodeltest.cpp
@@ -60,8 +60,8 @@
         for (const auto &node : nodes) {
             key += std::to_string(static_cast<int>(node.stage())) + "/" + std::to_string(node.record(Now).storeVersion.value())
                 + (node.isReportable() ? "," : "?,");
-            const auto wanted = node.pendingStage(targets(), Now);
-            key += wanted ? std::to_string(static_cast<int>(*wanted)) : "-";
+            const auto pending = node.pendingStage(targets(), Now);
+            key += pending ? std::to_string(static_cast<int>(*pending)) : "-";
         }
         key += "|" + std::to_string(version) + (stored ? std::to_string(static_cast<int>(*stored)) : "-");
         return key + (oldRuns ? "r" : "") + (oldRetired ? "t" : "") + (trustsReport[0] ? "0" : "") + (trustsReport[1] ? "1" : "")
@@ -101,8 +101,8 @@
 void write(State &state, std::size_t evaluator, bool responseLost)
 {
     auto &entry = state.nodes[evaluator];
-    const auto wanted = entry.pendingStage(State::targets(), Now);
-    if (!wanted) {
+    const auto pending = entry.pendingStage(State::targets(), Now);
+    if (!pending) {
         return;
     }
     if (entry.record(Now).storeVersion.value() != state.version) {
@@ -111,10 +111,10 @@
         return;
     }
     ++state.version;
-    state.finalStages += isFinal(*wanted) ? 1 : 0;
-    state.stored = wanted;
+    state.finalStages += isFinal(*pending) ? 1 : 0;
+    state.stored = pending;
     if (!responseLost) {
-        entry.mergeStored(ObjectVersion(state.version), wanted, Now);
+        entry.mergeStored(ObjectVersion(state.version), pending, Now);
     }
 }
 
--- a/autotests/unit/rolloutrecordtest.cpp
+++ b/autotests/unit/rolloutrecordtest.cpp
@@ -33,7 +33,7 @@
 
 struct Fixture
 {
-    RolloutController control{{.self = member(1, "v1"),
+    RolloutController controller{{.self = member(1, "v1"),
         .send = [this](const Endpoint &, const RolloutReport &) { ++sent; },
         .targetIdle = [] { return true; },
         .changed = [this](const RolloutRecord &changed, const std::string &) { stages.push_back(changed.stage); }}};
@@ -43,17 +43,17 @@
 
     Fixture()
     {
-        control.setMembers({member(1, "v1"), member(2, "v1"), member(3, "v2")}, now);
+        controller.setMembers({member(1, "v1"), member(2, "v1"), member(3, "v2")}, now);
     }
 
     void read(std::optional<RolloutStage> stage, std::uint64_t version = 10, std::uint64_t created = 10)
     {
-        control.specRead({spec(created), ObjectVersion(version), stage}, false, now);
+        controller.specRead({spec(created), ObjectVersion(version), stage}, false, now);
     }
 
     std::optional<VersionRule> rule()
     {
-        const auto rules = control.rules(now);
+        const auto rules = controller.rules(now);
         return rules.empty() ? std::nullopt : std::optional(rules.begin()->second);
     }
 };
@@ -105,30 +105,30 @@
 {
     Fixture fixture;
     fixture.read(std::nullopt);
-    fixture.control.specRemoved(ServiceName("tablero"), fixture.now);
+    fixture.controller.specRemoved(ServiceName("tablero"), fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
-    BOOST_TEST(fixture.control.dueWrites(fixture.now + std::chrono::seconds(5)).empty());
+    BOOST_TEST(fixture.controller.dueWrites(fixture.now + std::chrono::seconds(5)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(SpecMissingFromAListWasRemoved)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
-    fixture.control.specsListed({}, ObjectVersion(9), fixture.now);
+    fixture.controller.specsListed({}, ObjectVersion(9), fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
-    fixture.control.specsListed({}, ObjectVersion(11), fixture.now);
+    fixture.controller.specsListed({}, ObjectVersion(11), fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
 }
 
 BOOST_AUTO_TEST_CASE(RolloutToTheVersionInForceSucceedsAtOnce)
 {
     Fixture fixture;
-    fixture.control.setMembers({member(1, "v2"), member(2, "v2")}, fixture.now);
+    fixture.controller.setMembers({member(1, "v2"), member(2, "v2")}, fixture.now);
     fixture.now += std::chrono::seconds(20);
     fixture.read(std::nullopt);
     BOOST_TEST(!fixture.rule());
-    fixture.control.dueWrites(fixture.now);
-    const auto writes = fixture.control.dueWrites(fixture.now + std::chrono::seconds(1));
+    fixture.controller.dueWrites(fixture.now);
+    const auto writes = fixture.controller.dueWrites(fixture.now + std::chrono::seconds(1));
     BOOST_REQUIRE(writes.size() == 1U);
     BOOST_TEST((writes.front().stage == RolloutStage::Succeeded));
 }
@@ -137,14 +137,14 @@
 BOOST_AUTO_TEST_CASE(VersionWithoutTargetsIsRolledBackInTime)
 {
     Fixture fixture;
-    fixture.control.setMembers({member(1, "v1"), member(2, "v1")}, fixture.now);
+    fixture.controller.setMembers({member(1, "v1"), member(2, "v1")}, fixture.now);
     fixture.read(std::nullopt);
     std::vector<RolloutWrite> writes;
     for (int step = 0; step < 160; ++step) {
         fixture.now += Milliseconds(100);
-        fixture.control.tick(fixture.now);
-        for (auto &write : fixture.control.dueWrites(fixture.now)) {
-            fixture.control.writeCompleted(write, ObjectVersion(write.expected.value() + 1), fixture.now);
+        fixture.controller.tick(fixture.now);
+        for (auto &write : fixture.controller.dueWrites(fixture.now)) {
+            fixture.controller.writeCompleted(write, ObjectVersion(write.expected.value() + 1), fixture.now);
             writes.push_back(std::move(write));
         }
     }
@@ -162,10 +162,10 @@
     fixture.read(std::nullopt);
     const auto from = member(2, "v1").control();
     RolloutReport report{.records = {record(RolloutStage::CutOff, 100)}, .counts = {}};
-    fixture.control.receive({"10.9.9.9", 7000}, report, fixture.now);
+    fixture.controller.receive({"10.9.9.9", 7000}, report, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
     report.records.front().spec.duration = Milliseconds(0);
-    fixture.control.receive(from, report, fixture.now);
+    fixture.controller.receive(from, report, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
     TargetCounts counts{.node = NodeName("node-2"),
         .process = 1,
@@ -174,11 +174,11 @@
         .specCreated = ObjectVersion(10),
         .retired = false,
         .routes = {{RouteName("r"), 5, 6, {}}}};
-    fixture.control.receive(from, {.records = {}, .counts = {counts}}, fixture.now);
+    fixture.controller.receive(from, {.records = {}, .counts = {counts}}, fixture.now);
     counts.routes.front().failures = 1;
     counts.node = NodeName("stranger");
-    fixture.control.receive(from, {.records = {}, .counts = {counts}}, fixture.now);
-    BOOST_TEST(fixture.control.dropped() == 4U);
+    fixture.controller.receive(from, {.records = {}, .counts = {counts}}, fixture.now);
+    BOOST_TEST(fixture.controller.dropped() == 4U);
 }
 
 // A rollout that had started before this node learnt of it: the version gets no calls until other
@@ -186,27 +186,27 @@
 BOOST_AUTO_TEST_CASE(RolloutAlreadyStartedWaitsForPeerRecords)
 {
     Fixture fixture;
-    fixture.control.specRead({spec(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
+    fixture.controller.specRead({spec(10), ObjectVersion(11), RolloutStage::Running}, true, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
-    fixture.control.tick(fixture.now);
+    fixture.controller.tick(fixture.now);
     BOOST_TEST(fixture.sent == 0);
     fixture.now += Milliseconds(2100);
-    fixture.control.tick(fixture.now);
+    fixture.controller.tick(fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Canary));
 }
 
-// Guards against a service without targets: the targets of the new version are lost while it gets
-// all calls.
-BOOST_AUTO_TEST_CASE(PromotedVersionWhoseTargetsAreLostIsCutOff)
+// Guards against a service without targets: all targets of the new version fail while it gets all
+// calls.
+BOOST_AUTO_TEST_CASE(PromotedVersionWithoutTargetsIsCutOff)
 {
     Fixture fixture;
     fixture.read(std::nullopt);
     auto promoted = record(RolloutStage::Promoting, 13000);
     promoted.promotedAtMs = 10000;
-    fixture.control.receive(member(2, "v1").control(), {.records = {promoted}, .counts = {}}, fixture.now);
+    fixture.controller.receive(member(2, "v1").control(), {.records = {promoted}, .counts = {}}, fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Only));
-    fixture.control.setMembers({member(1, "v1"), member(2, "v1")}, fixture.now);
+    fixture.controller.setMembers({member(1, "v1"), member(2, "v1")}, fixture.now);
     fixture.now += Milliseconds(600);
-    fixture.control.tick(fixture.now);
+    fixture.controller.tick(fixture.now);
     BOOST_TEST((fixture.rule()->mode == VersionRule::Mode::Excluded));
 }
--- a/autotests/unit/versiontesttest.cpp
+++ b/autotests/unit/versiontesttest.cpp
@@ -105,7 +105,7 @@
     }
 }
 
-// Guards against a fault that is masked by a long time without one.
+// Guards against overlooking a fault that begins after a long time without failures.
 BOOST_AUTO_TEST_CASE(FaultThatBeginsLateIsDetectedAsFast)
 {
     Sample sample(1);
--- a/src/common/strongtype.h
+++ b/src/common/strongtype.h
@@ -7,7 +7,7 @@
 
 namespace Galenahill {
 
-// A value with a type of its own: two strong types over the same representation don't convert into
+// A value with a distinct type: two strong types over the same representation don't convert into
 // each other, so a service name can't be passed where a data centre is expected.
 template <typename Value, typename Tag>
 class StrongType
--- a/src/core/config/blobcollector.cpp
+++ b/src/core/config/blobcollector.cpp
@@ -39,7 +39,7 @@
         return tl::unexpected(head.error());
     }
     // A store that was restored from a backup references fewer blobs than the nodes serve, so a
-    // blob that looks unreferenced there may be in force.
+    // blob that the store's head doesn't reference may be in force.
     if (m_options.repository.storeIsBehind(head->manifest)) {
         m_candidates.clear();
         return 0;
--- a/src/core/config/blobcollector.h
+++ b/src/core/config/blobcollector.h
@@ -8,7 +8,7 @@
 namespace Galenahill {
 
 // Removes blobs from the store that no kept revision references. Runs on the node that holds the
-// role; two collectors at once, or one that resumes after a long pause, do no harm.
+// collector role; two collectors at once, or one that resumes after a long pause, do no harm.
 //
 // A blob becomes a candidate in one round and is removed in a later one if the head has changed in
 // between and still doesn't reference it. An apply that found the blob in the store before it
--- a/src/core/config/configrepository.cpp
+++ b/src/core/config/configrepository.cpp
@@ -14,7 +14,7 @@
 
 const std::string HeadKey = "config/head";
 
-// Value size limit of the platform's store, minus room for its own envelope.
+// Value size limit of the platform's store, minus a reserve for its envelope.
 constexpr std::size_t MaxHeadBytes = 1000 * 1000;
 
 // Attempts to write the head before an apply fails. Each conflict means that another operator's
@@ -104,9 +104,9 @@
     ConfigBundle bundle;
     bundle.manifest = manifest;
     for (const auto &[name, hash] : manifest.files) {
-        const auto *held = known == nullptr ? nullptr : known->bundle.file(name);
-        if (held != nullptr && known->bundle.manifest.files.at(name) == hash) {
-            bundle.files.push_back(*held);
+        const auto *existing = known == nullptr ? nullptr : known->bundle.file(name);
+        if (existing != nullptr && known->bundle.manifest.files.at(name) == hash) {
+            bundle.files.push_back(*existing);
             continue;
         }
         auto blob = m_options.store.read(blobKey(hash));
@@ -176,7 +176,7 @@
         return tl::unexpected(mergedBundle.error());
     }
     // Two valid histories may contradict each other. In that case the revision in force is kept,
-    // and the operators are told which changes are not in it.
+    // and the response to the apply lists the changes that are not in it.
     if (ConfigSnapshot::validate(mergedBundle->files)) {
         base.bundle = std::move(*mergedBundle);
     } else {
@@ -194,8 +194,8 @@
     if (manifest.change(request.id)) {
         return bundle;
     }
-    const auto held = manifest.files.find(request.file);
-    const auto previous = held == manifest.files.end() ? ContentHash() : held->second;
+    const auto existing = manifest.files.find(request.file);
+    const auto previous = existing == manifest.files.end() ? ContentHash() : existing->second;
     manifest.files.erase(request.file);
     if (request.remove) {
         std::erase_if(bundle.files, [&](const auto &file) { return file.name == request.file; });
@@ -247,8 +247,8 @@
 {
     for (const auto &file : bundle.files) {
         const auto &hash = bundle.manifest.files.at(file.name);
-        const auto held = base.head.manifest.files.find(file.name);
-        if (held != base.head.manifest.files.end() && held->second == hash && !base.diverged) {
+        const auto existing = base.head.manifest.files.find(file.name);
+        if (existing != base.head.manifest.files.end() && existing->second == hash && !base.diverged) {
             continue;
         }
         if (const auto written = writeBlob(blobKey(hash), file.text); !written) {
@@ -354,8 +354,8 @@
     for (int i = 0; i < MaxAttempts; ++i) {
         auto outcome = attempt(current);
         if (!outcome) {
-            const bool unreachable = outcome.error().kind == ErrorKind::Unavailable;
-            return unreachable ? notAccepted(request, outcome.error()) : tl::unexpected(outcome.error());
+            const bool unavailable = outcome.error().kind == ErrorKind::Unavailable;
+            return unavailable ? notAccepted(request, outcome.error()) : tl::unexpected(outcome.error());
         }
         if (*outcome) {
             return std::move(**outcome);
--- a/src/core/config/configrepository.h
+++ b/src/core/config/configrepository.h
@@ -74,10 +74,10 @@
     // from a backup.
     bool storeIsBehind(const Manifest &stored) const;
 
-    // Reads the files that the manifest lists, taking those that `known` already has from there.
+    // Reads the files that the manifest lists. Those that `known` has unchanged are copied from it.
     Result<ConfigBundle> readBundle(const Manifest &manifest, const ConfigRevision *known);
 
-    // The configuration that the files in force would give with this file in its place; errors have
+    // The configuration that would result from applying this file to the ones in force; errors have
     // the same text as those of `apply`. Changes nothing and contacts no other node.
     Result<std::shared_ptr<const ConfigSnapshot>> check(const ConfigFile &file) const;
 
@@ -90,8 +90,8 @@
     Result<ApplyOutcome> apply(const ApplyRequest &request);
 
     // Writes the revision in force back to a store whose head is strictly older, such as after a
-    // restore, and returns whether it did. A head with changes of its own is left to the next
-    // apply, which merges both histories.
+    // restore, and returns whether it did. A head with changes that are not in force is left to the
+    // next apply, which merges both histories.
     Result<bool> writeBack();
 
     // The accepted change of that id; NotFound if it isn't among the last
--- a/src/core/config/historymerge.cpp
+++ b/src/core/config/historymerge.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Changes of `history` that `other` doesn't have. Changes older than those that `other` keeps were
-// forgotten there, and don't count as missing.
+// Changes of `history` that `other` doesn't have. Changes older than those that `other` keeps may
+// have been dropped from it, so they don't count as missing.
 std::vector<AppliedChange> missingIn(const Manifest &other, const Manifest &history)
 {
     std::vector<AppliedChange> missing;
--- a/src/core/config/historymerge.h
+++ b/src/core/config/historymerge.h
@@ -24,8 +24,8 @@
 bool lacksChanges(const Manifest &manifest, const Manifest &other);
 
 // Merges the manifest in force with the store's, after the store was restored from a backup and an
-// apply was accepted on the restored state. Operators were told that the changes of both histories
-// were accepted, so neither may be dropped silently.
+// apply was accepted on the restored state. The operators' changes of both histories were reported
+// as accepted, so neither may be dropped silently.
 MergedHistory mergeHistories(const Manifest &inForce, const Manifest &stored);
 
 }
--- a/src/core/config/manifest.cpp
+++ b/src/core/config/manifest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Far above any number that is ever reached. In a damaged head, a number near the type's maximum
+// Well above any revision that is ever reached. In a damaged head, a number near the type's maximum
 // would make the next revision wrap around to zero, which no node adopts.
 constexpr std::uint64_t MaxRevision = std::uint64_t(1) << 62;
 
--- a/src/core/config/manifest.h
+++ b/src/core/config/manifest.h
@@ -59,7 +59,7 @@
     // revision never existed.
     Result<Manifest> at(Revision earlier) const;
 
-    // Hashes of the replaced contents from which `at` can still restore earlier revisions.
+    // Hashes of the replaced file texts from which `at` can still restore earlier revisions.
     std::vector<ContentHash> retained() const;
 
     std::string toJson() const;
--- a/src/core/config/storebudget.cpp
+++ b/src/core/config/storebudget.cpp
@@ -14,7 +14,7 @@
 
 // The store handles about two thousand reads a second from the whole fleet. A node in a loop (a
 // watch that returns immediately, a contact list that never settles) could use all of them, so each
-// node has its own limit, whatever the cause.
+// node is limited separately, whatever the cause.
 Milliseconds StoreBudget::reserve(TimePoint now)
 {
     const auto elapsed = m_lastRefill == TimePoint() ? 0.0 : std::chrono::duration<double>(now - m_lastRefill).count();
--- a/src/core/config/storebudget.h
+++ b/src/core/config/storebudget.h
@@ -6,8 +6,8 @@
 
 namespace Galenahill {
 
-// Limits the rate of a node's own calls to the platform's store: a token bucket, and exponential
-// backoff with jitter after failures. Operators' requests are not limited by it.
+// Limits the rate of a node's background calls to the platform's store: a token bucket, and
+// exponential backoff with jitter after failures. Operators' requests are not limited by it.
 class StoreBudget
 {
 public:
--- a/src/core/rollouts/rolloutcontroller.cpp
+++ b/src/core/rollouts/rolloutcontroller.cpp
@@ -37,7 +37,8 @@
     TargetVersion localVersion;
     TimePoint warmFrom;
     TargetCounts localCounts;
-    // Until when the local target gets no calls even if the rollout has been cut off.
+    // End of the retirement lease, until which the local target gets no calls even if the rollout
+    // has been cut off.
     TimePoint retiredUntil;
     TimePoint lastReport;
     std::uint64_t dropped = 0;
--- a/src/core/rollouts/rolloutcontroller.h
+++ b/src/core/rollouts/rolloutcontroller.h
@@ -104,8 +104,8 @@
     // Whether this node watches the specs in the store and writes the stages.
     bool isEvaluator() const;
 
-    // Stages that this node has to write now. Each is returned once a second until `written` is
-    // called for it or the stage is read from the store.
+    // Stages that this node has to write now. Each is returned once a second until `writeCompleted`
+    // is called for it or the stage is read from the store.
     std::vector<RolloutWrite> dueWrites(TimePoint now);
 
     // A write to the store succeeded.
--- a/src/core/rollouts/rolloutentry.cpp
+++ b/src/core/rollouts/rolloutentry.cpp
@@ -31,9 +31,9 @@
 // Fraction of the rejection threshold from which on a score prevents the promotion.
 constexpr double DoubtfulScoreRatio = 0.5;
 
-// Minimum number of targets of the new version, relative to the others, to start a promotion and to
-// continue it. The second is lower so that a mass failure of both versions does not revert a
-// promotion.
+// Minimum number of targets of the new version, relative to those of the other versions, to start a
+// promotion and to continue it. The second is lower so that a mass failure of both versions does
+// not revert a promotion.
 constexpr double MinTargetRatio = 0.5;
 constexpr double MinRemainingTargetRatio = 0.25;
 
@@ -168,10 +168,10 @@
 bool RolloutEntry::evaluate(const TargetsByVersion &targets, TimePoint now)
 {
     const bool decided = m_awaitsPeerRecords || m_inForce || stage() >= RolloutStage::CutOff;
-    if (decided || now - m_lastObserved < EvaluationInterval) {
+    if (decided || now - m_lastEvaluated < EvaluationInterval) {
         return false;
     }
-    m_lastObserved = now;
+    m_lastEvaluated = now;
     if (stage() == RolloutStage::Promoting && targetRatio(targets) < MinRemainingTargetRatio) {
         return cutOff("too few targets of the new version are left to run all calls", now);
     }
@@ -196,7 +196,7 @@
     return proven && !targets.newVersionTargets.empty() && targetRatio(targets) >= MinTargetRatio;
 }
 
-bool RolloutEntry::othersRetired(const TargetsByVersion &targets, TimePoint now) const
+bool RolloutEntry::otherVersionsRetired(const TargetsByVersion &targets, TimePoint now) const
 {
     return std::all_of(
         targets.otherVersionTargets.begin(), targets.otherVersionTargets.end(), [&](const NodeName &node) { return m_counts.isRetired(node, now); });
@@ -204,7 +204,7 @@
 
 std::optional<RolloutStage> RolloutEntry::pendingStage(const TargetsByVersion &targets, TimePoint now) const
 {
-    auto wanted = RolloutStage::Running;
+    auto pending = RolloutStage::Running;
     if (m_awaitsPeerRecords || isFinal(stage())) {
         return std::nullopt;
     }
@@ -212,11 +212,11 @@
         if (now - m_stageSince < CutOffPropagation) {
             return std::nullopt;
         }
-        wanted = RolloutStage::RolledBack;
-    } else if (m_inForce || (m_plan.takesAll(record(now)) && othersRetired(targets, now))) {
-        wanted = RolloutStage::Succeeded;
+        pending = RolloutStage::RolledBack;
+    } else if (m_inForce || (m_plan.takesAll(record(now)) && otherVersionsRetired(targets, now))) {
+        pending = RolloutStage::Succeeded;
     }
-    return m_stored == wanted ? std::nullopt : std::optional(wanted);
+    return m_stored == pending ? std::nullopt : std::optional(pending);
 }
 
 // Selects targets by rendezvous hashing, so that all nodes that know the same members select the
--- a/src/core/rollouts/rolloutentry.h
+++ b/src/core/rollouts/rolloutentry.h
@@ -11,7 +11,7 @@
 
 namespace Galenahill {
 
-// One rollout: its spec, its stage, and the call counts by which its version is judged.
+// One rollout: its spec, its stage, and the call counts by which its version is evaluated.
 class RolloutEntry
 {
 public:
@@ -23,7 +23,7 @@
     void awaitPeerRecords();
 
     // Restarts the rollout if no node has reported its record in time, which means that all nodes
-    // were restarted. The share plan leaves room for that.
+    // were restarted. The share plan leaves time for that.
     void tick(TimePoint now);
 
     // All targets already have the version, so there are no calls to move.
@@ -65,14 +65,14 @@
 private:
     bool moveTo(RolloutStage stage, std::string reason, TimePoint now);
     bool isReadyToPromote(const TargetsByVersion &targets) const;
-    bool othersRetired(const TargetsByVersion &targets, TimePoint now) const;
+    bool otherVersionsRetired(const TargetsByVersion &targets, TimePoint now) const;
     std::vector<NodeName> loadPhaseTargets(const SharePlan::Step &step, const TargetsByVersion &targets) const;
 
     RolloutRecord m_record;
     SharePlan m_plan;
     TimePoint m_begun;
     TimePoint m_stageSince;
-    TimePoint m_lastObserved;
+    TimePoint m_lastEvaluated;
     bool m_awaitsPeerRecords = false;
     bool m_inForce = false;
     std::optional<RolloutStage> m_stored;
--- a/src/core/rollouts/rolloutpeers.cpp
+++ b/src/core/rollouts/rolloutpeers.cpp
@@ -27,7 +27,7 @@
     m_members = members;
     m_services.clear();
     m_senders.clear();
-    m_others.clear();
+    m_peerAddresses.clear();
     m_local.clear();
     m_remote.clear();
     m_evaluators.clear();
@@ -42,7 +42,7 @@
             continue;
         }
         m_senders.emplace(toString(member.control()), member.name);
-        m_others.push_back(member.control());
+        m_peerAddresses.push_back(member.control());
         (member.dataCentre == m_self.dataCentre ? m_local : m_remote).push_back(member.control());
     }
     m_rank = rendezvousRank(EvaluatorRole, m_self, allEvaluators);
@@ -86,7 +86,7 @@
 
 const std::vector<Endpoint> &RolloutPeers::peerAddresses() const
 {
-    return m_others;
+    return m_peerAddresses;
 }
 
 std::optional<Endpoint> RolloutPeers::randomPeer()
--- a/src/core/rollouts/rolloutpeers.h
+++ b/src/core/rollouts/rolloutpeers.h
@@ -37,7 +37,7 @@
     const std::vector<Endpoint> &evaluators() const;
     const std::vector<Endpoint> &peerAddresses() const;
 
-    // A random member, usually of the local data centre; none if there are no others.
+    // A random member, usually of the local data centre; none if this is the only one.
     std::optional<Endpoint> randomPeer();
 
 private:
@@ -46,7 +46,7 @@
     std::vector<MemberRecord> m_members;
     std::unordered_map<NodeName, ServiceName> m_services;
     std::unordered_map<std::string, NodeName> m_senders;
-    std::vector<Endpoint> m_others;
+    std::vector<Endpoint> m_peerAddresses;
     std::vector<Endpoint> m_local;
     std::vector<Endpoint> m_remote;
     std::vector<Endpoint> m_evaluators;
--- a/src/core/rollouts/rolloutrecord.h
+++ b/src/core/rollouts/rolloutrecord.h
@@ -23,21 +23,21 @@
 
 // Stages of a rollout; a rollout never returns to an earlier one.
 enum class RolloutStage : std::uint8_t {
-    // The version gets a small share of the calls and is compared with the others.
+    // The version gets a small share of the calls and is compared with the other versions.
     Running,
     // The version passed the comparison, and its share grows up to all calls.
     Promoting,
     // The version gets no more calls.
     CutOff,
-    // The store holds that the rollout was rolled back.
+    // The store records that the rollout was rolled back.
     RolledBack,
-    // The store holds that the version replaced the old one.
+    // The store records that the version replaced the old one.
     Succeeded,
 };
 
 std::string toString(RolloutStage stage);
 
-// Whether the stage ends the rollout; the store holds it then.
+// Whether the stage ends the rollout; the store holds that stage by then.
 bool isFinal(RolloutStage stage);
 
 // What a node knows about the latest rollout of one service.
--- a/src/core/rollouts/targetcounttable.cpp
+++ b/src/core/rollouts/targetcounttable.cpp
@@ -15,21 +15,22 @@
 {
     const bool named = !counts.route.value().empty() && counts.route.value().size() <= RolloutLimits::MaxNameBytes;
     const bool bounded = counts.calls <= MaxCalls && counts.failures <= counts.calls && counts.latencies.size() <= LatencyBucket::Count;
-    return named && bounded && std::all_of(counts.latencies.begin(), counts.latencies.end(), [&](const LatencyBucket &times) {
-        return times.index < LatencyBucket::Count && times.calls <= counts.calls;
+    return named && bounded && std::all_of(counts.latencies.begin(), counts.latencies.end(), [&](const LatencyBucket &bucket) {
+        return bucket.index < LatencyBucket::Count && bucket.calls <= counts.calls;
     });
 }
 
-void mergeMaximum(RouteCounts &held, const RouteCounts &reported)
+void mergeMaximum(RouteCounts &existing, const RouteCounts &reported)
 {
-    held.calls = std::max(held.calls, reported.calls);
-    held.failures = std::max(held.failures, reported.failures);
-    for (const auto &times : reported.latencies) {
-        const auto same = std::find_if(held.latencies.begin(), held.latencies.end(), [&](const LatencyBucket &known) { return known.index == times.index; });
-        if (same == held.latencies.end()) {
-            held.latencies.push_back(times);
+    existing.calls = std::max(existing.calls, reported.calls);
+    existing.failures = std::max(existing.failures, reported.failures);
+    for (const auto &bucket : reported.latencies) {
+        const auto same
+            = std::find_if(existing.latencies.begin(), existing.latencies.end(), [&](const LatencyBucket &known) { return known.index == bucket.index; });
+        if (same == existing.latencies.end()) {
+            existing.latencies.push_back(bucket);
         } else {
-            same->calls = std::max(same->calls, times.calls);
+            same->calls = std::max(same->calls, bucket.calls);
         }
     }
 }
@@ -45,18 +46,18 @@
     if (m_counts.size() >= RolloutLimits::MaxTargets && !m_counts.contains(source)) {
         return false;
     }
-    auto &held = m_counts.try_emplace(source, counts).first->second;
-    if (counts.sequence >= held.sequence) {
-        held.sequence = counts.sequence;
-        held.retired = counts.retired;
+    auto &existing = m_counts.try_emplace(source, counts).first->second;
+    if (counts.sequence >= existing.sequence) {
+        existing.sequence = counts.sequence;
+        existing.retired = counts.retired;
         m_lastReported[source] = now;
     }
     for (const auto &route : counts.routes) {
-        const auto same = std::find_if(held.routes.begin(), held.routes.end(), [&](const RouteCounts &known) { return known.route == route.route; });
-        if (same != held.routes.end()) {
+        const auto same = std::find_if(existing.routes.begin(), existing.routes.end(), [&](const RouteCounts &known) { return known.route == route.route; });
+        if (same != existing.routes.end()) {
             mergeMaximum(*same, route);
-        } else if (held.routes.size() < RolloutLimits::MaxRoutes) {
-            held.routes.push_back(route);
+        } else if (existing.routes.size() < RolloutLimits::MaxRoutes) {
+            existing.routes.push_back(route);
         }
     }
     return true;
--- a/src/core/rollouts/versioncounts.h
+++ b/src/core/rollouts/versioncounts.h
@@ -81,9 +81,9 @@
 };
 
 template <typename Inspector>
-auto inspect(Inspector &inspector, LatencyBucket &times)
+auto inspect(Inspector &inspector, LatencyBucket &bucket)
 {
-    return inspector(times.index, times.calls);
+    return inspector(bucket.index, bucket.calls);
 }
 
 template <typename Inspector>
--- a/src/core/rollouts/versionrule.h
+++ b/src/core/rollouts/versionrule.h
@@ -11,7 +11,7 @@
 struct VersionRule
 {
     enum class Mode {
-        // The version gets its share of the calls, the others get the rest.
+        // The version gets its share of the calls, the other versions get the rest.
         Canary,
         // The version gets no calls.
         Excluded,
--- a/src/core/rollouts/versionsplit.h
+++ b/src/core/rollouts/versionsplit.h
@@ -10,7 +10,7 @@
 
 // Decides for each call whether it goes to the new version: of any number of calls that version
 // gets its share, to within one call. Each node starts at a random offset, so that the first calls
-// of a fleet don't all go there.
+// of a fleet don't all go to the new version.
 class VersionSplit
 {
 public:
--- a/src/core/rollouts/versiontest.cpp
+++ b/src/core/rollouts/versiontest.cpp
@@ -80,8 +80,8 @@
 VersionTest::Counts VersionTest::takeNewCounts(const TargetCountTable::Source &source, const RouteCounts &counts)
 {
     Counts all{.calls = static_cast<double>(counts.calls), .failures = static_cast<double>(counts.failures)};
-    for (const auto &times : counts.latencies) {
-        all.latencies[times.index] = times.calls;
+    for (const auto &bucket : counts.latencies) {
+        all.latencies[bucket.index] = bucket.calls;
     }
     auto &last = m_lastCounts[source][counts.route];
     Counts recent{.calls = all.calls - last.calls, .failures = all.failures - last.failures};
@@ -90,7 +90,7 @@
     return recent;
 }
 
-// Logarithm of the likelihood ratio for that many bad calls out of all.
+// Logarithm of the likelihood ratio for that many failed or slow calls out of all.
 double VersionTest::logLikelihoodRatio(double bad, double all, double referenceShare) const
 {
     const double expected = std::min(referenceShare + m_options.toleratedExcess, MaxAssumedShare);
@@ -144,12 +144,12 @@
         RouteName route;
         Counts counts;
     };
-    std::vector<NewCounts> ofVersion;
+    std::vector<NewCounts> newVersionCounts;
     for (const auto &[source, counts] : targetCounts.all()) {
         for (const auto &route : counts.routes) {
             const auto recent = takeNewCounts(source, route);
             if (source.version == m_options.version) {
-                ofVersion.push_back({source.node, route.route, recent});
+                newVersionCounts.push_back({source.node, route.route, recent});
                 continue;
             }
             auto &reference = m_references[route.route].recent;
@@ -159,7 +159,7 @@
         }
     }
     std::map<NodeName, Scores> latest;
-    for (const auto &[node, route, counts] : ofVersion) {
+    for (const auto &[node, route, counts] : newVersionCounts) {
         const auto scores = scoresOf(route, counts);
         latest[node].failure += scores.failure;
         latest[node].slowness += scores.slowness;
--- a/src/core/rollouts/versiontest.h
+++ b/src/core/rollouts/versiontest.h
@@ -12,8 +12,8 @@
 
 // Compares the responses of the new version with those of the other versions at the same time and
 // on the same routes: a sequential probability ratio test on the failure rate, and one on the share
-// of calls that take several times the usual latency or are abandoned. Each test restarts when its
-// score falls to zero (Page's cumulative sum), so that a fault which begins late is detected as
+// of calls that take several times the reference latency or are abandoned. Each test restarts when
+// its score falls to zero (Page's cumulative sum), so that a fault which begins late is detected as
 // fast as one from the start.
 //
 // The target with the worst score is left out, so that a single slow or failing VM doesn't get its
