--- a/autotests/processes/callfaultstest.cpp
+++ b/autotests/processes/callfaultstest.cpp
@@ -34,7 +34,7 @@
 }
 
 // Four nodes with the routes above in force. All are in one data centre: ingress nodes in another one
-// would use their local target only and never meet the fault.
+// would use their local target only and never be affected by the fault.
 struct Fixture
 {
     Fixture()
@@ -145,7 +145,7 @@
         std::count_if(records.begin(), records.end(), [](const auto &record) { return record.idempotent && record.outcome != CallOutcome::Answered; }));
 }
 
-std::size_t connectionsCut(const std::vector<CallRecord> &records)
+std::size_t brokenConnections(const std::vector<CallRecord> &records)
 {
     return static_cast<std::size_t>(
         std::count_if(records.begin(), records.end(), [](const auto &record) { return record.outcome == CallOutcome::Unknown && record.status == 0; }));
@@ -158,7 +158,7 @@
 // One of four targets accepts calls and never responds. Attempts of reads time out early enough for a
 // retry at another target; orders end as "outcome unknown" and do not run again when the target
 // resumes.
-BOOST_AUTO_TEST_CASE(frozenTarget)
+BOOST_AUTO_TEST_CASE(pausedTarget)
 {
     const auto records = load({0, 1, 2, 3}, [this] {
         fleet.targetProcess(0)->signal(SIGSTOP);
@@ -213,8 +213,8 @@
     BOOST_TEST(targetWorks(1));
 }
 
-// A node is stopped gracefully and restarted under load. No call in flight to its target is cut off, so
-// no call through the other nodes fails.
+// A node is stopped gracefully and restarted under load. No call in flight to its target is interrupted,
+// so no call through the other nodes fails.
 BOOST_AUTO_TEST_CASE(plannedStops)
 {
     const auto records = load({1, 2, 3}, [this] {
@@ -223,7 +223,7 @@
         fleet.startNode(0);
     });
     const auto result = check(records);
-    BOOST_TEST(connectionsCut(records) == 0U);
+    BOOST_TEST(brokenConnections(records) == 0U);
     BOOST_TEST(result.answered == records.size());
 }
 
--- a/autotests/processes/explainfailuretest.cpp
+++ b/autotests/processes/explainfailuretest.cpp
@@ -59,9 +59,9 @@
         }
     }
 
-    static int statusOf(const Result<HttpResponse> &answer)
+    static int statusOf(const Result<HttpResponse> &response)
     {
-        return answer ? static_cast<int>(answer->result_int()) : 0;
+        return response ? static_cast<int>(response->result_int()) : 0;
     }
 
     // Sends calls of the route with the given ids, all at the same time.
@@ -70,19 +70,19 @@
         asio::io_context context(1);
         HttpClient client(context, {});
         const auto headerNames = Platform::callHeaderNames();
-        std::vector<Result<HttpResponse>> answers(ids.size());
+        std::vector<Result<HttpResponse>> responses(ids.size());
         const auto send = [&](std::size_t i) -> asio::awaitable<void> {
             HttpRequest request(http::verb::get, "/" + routeName + "/1", 11);
             request.set(http::field::host, "pedidos.example");
             request.set(headerNames.requestId, ids[i]);
             request.set(headerNames.timeoutMs, "5000");
-            answers[i] = co_await client.exchange(fleet.ingress(0), std::move(request), Clock::now() + Limit);
+            responses[i] = co_await client.exchange(fleet.ingress(0), std::move(request), Clock::now() + Limit);
         };
         for (std::size_t i = 0; i < ids.size(); ++i) {
             asio::co_spawn(context, send(i), asio::detached);
         }
         context.run();
-        return answers;
+        return responses;
     }
 
     // Explanation of the call from the node's log, once that has the call's last event.
@@ -92,10 +92,10 @@
         std::string table;
         while (table.find(lastEvent) == std::string::npos && Clock::now() < until) {
             std::this_thread::sleep_for(Milliseconds(50));
-            CallTrace story(id);
+            CallTrace trace(id);
             std::ifstream log(fleet.nodeLog(0));
-            story.read(log);
-            table = story.table();
+            trace.read(log);
+            table = trace.table();
         }
         return table;
     }
@@ -106,13 +106,13 @@
 // Four calls at once compete for one slot. Calls that cannot be answered within their objective of
 // 300 ms after calls of 400 ms are rejected. The explanation says that all slots were in use, how many
 // there are and how long the wait would have been.
-BOOST_FIXTURE_TEST_CASE(ExplainsARefusalUnderOverload, Fixture)
+BOOST_FIXTURE_TEST_CASE(ExplainsARejectionUnderOverload, Fixture)
 {
     const std::vector<std::string> ids = {"over-1", "over-2", "over-3", "over-4"};
-    const auto answers = callAll(ids, "cola");
-    const auto refused = std::find_if(answers.begin(), answers.end(), [](const auto &answer) { return statusOf(answer) == 503; });
-    BOOST_REQUIRE(refused != answers.end());
-    const auto table = explain(ids[static_cast<std::size_t>(refused - answers.begin())], "call-refused");
+    const auto responses = callAll(ids, "cola");
+    const auto rejected = std::find_if(responses.begin(), responses.end(), [](const auto &response) { return statusOf(response) == 503; });
+    BOOST_REQUIRE(rejected != responses.end());
+    const auto table = explain(ids[static_cast<std::size_t>(rejected - responses.begin())], "call-refused");
     BOOST_TEST_MESSAGE(table);
     BOOST_TEST(table.find("sidecar-refused") != std::string::npos);
     BOOST_TEST(table.find("reason=no slot in time") != std::string::npos);
@@ -122,15 +122,15 @@
 
 // The target is killed while it runs a call that must not be retried. The caller gets 502; the
 // explanation says which target had the call, and that it neither timed out nor was cancelled.
-BOOST_FIXTURE_TEST_CASE(ExplainsALostTarget, Fixture)
+BOOST_FIXTURE_TEST_CASE(ExplainsAKilledTarget, Fixture)
 {
     std::thread killer([this] {
         std::this_thread::sleep_for(Milliseconds(150));
         fleet.targetProcess(0).signal(SIGKILL);
     });
-    const auto answers = callAll({"lost-1"}, "orden");
+    const auto responses = callAll({"lost-1"}, "orden");
     killer.join();
-    BOOST_TEST(statusOf(answers.front()) == 502);
+    BOOST_TEST(statusOf(responses.front()) == 502);
     const auto table = explain("lost-1", "call-unknown");
     BOOST_TEST_MESSAGE(table);
     BOOST_TEST(table.find("target-gave-no-answer") != std::string::npos);
--- a/autotests/unit/attempttimeouttest.cpp
+++ b/autotests/unit/attempttimeouttest.cpp
@@ -25,7 +25,7 @@
     return record;
 }
 
-// An ingress with two sidecars, both played by the test: one whose target is slow, and one with or
+// An ingress with two sidecars, both simulated by the test: one whose target is slow, and one with or
 // without free slots. The route has a timeout of 1.2 s, so an attempt times out after 600 ms.
 struct Fixture
 {
@@ -60,7 +60,7 @@
             BOOST_REQUIRE(server->listen().has_value());
         }
         thread = std::thread([this] { context.run(); });
-        // The ingress needs the usual latency of the route to choose the attempt timeout.
+        // The ingress needs the average latency of the route to choose the attempt timeout.
         BOOST_REQUIRE(call().find("200 OK") != std::string::npos);
         slow = true;
         slowCalls = 0;
@@ -116,15 +116,15 @@
     {
         ++otherCalls;
         if (!otherHasFreeSlot) {
-            auto refused = notRunResponse(http::status::service_unavailable, "refused", "full");
-            refused.set(CallHeaders::Load, formatLoad({9, 9}));
-            co_return refused;
+            auto rejected = notRunResponse(http::status::service_unavailable, "refused", "full");
+            rejected.set(CallHeaders::Load, formatLoad({9, 9}));
+            co_return rejected;
         }
         co_return makeResponse(http::status::ok, "text/plain", "other;");
     }
 
-    // Lets the ingress learn that the other sidecar has no free slot, by a call while it is the only
-    // one.
+    // Sends a call while the other sidecar is the only one, so that the ingress records that it has no
+    // free slot.
     void fillOther()
     {
         otherHasFreeSlot = false;
@@ -133,7 +133,7 @@
         setMembers({member("slow", SlowEndpoint), member("other", OtherEndpoint)});
     }
 
-    // Whether the attempt at the slow target is cancelled. The target learns of that a little later than
+    // Whether the attempt at the slow target is cancelled. The target is notified a little later than
     // the caller gets the other target's response.
     bool becomesCancelled() const
     {
@@ -163,9 +163,9 @@
 BOOST_AUTO_TEST_CASE(KeepsWaitingIfNoOtherTargetHasAFreeSlot)
 {
     fillOther();
-    const auto answer = call();
-    BOOST_TEST(answer.find("200 OK") != std::string::npos);
-    BOOST_TEST(answer.find("slow;") != std::string::npos);
+    const auto response = call();
+    BOOST_TEST(response.find("200 OK") != std::string::npos);
+    BOOST_TEST(response.find("slow;") != std::string::npos);
     BOOST_TEST(cancelledAttempts == 0);
 }
 
--- a/autotests/unit/bodyreceivertest.cpp
+++ b/autotests/unit/bodyreceivertest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A body of which the test releases each part, or which it cuts off.
+// A body of which the test releases each part, or which it interrupts.
 class FakeBody : public BodySource
 {
 public:
@@ -20,7 +20,7 @@
         m_timer.expires_at(TimePoint::max());
         ErrorCode ignored;
         co_await m_timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        if (m_cut) {
+        if (m_interrupted) {
             co_return asio::error::eof;
         }
         part.append(limit, 'b');
@@ -48,9 +48,9 @@
         m_timer.cancel();
     }
 
-    void cutOff()
+    void interrupt()
     {
-        m_cut = true;
+        m_interrupted = true;
         m_timer.cancel();
     }
 
@@ -59,7 +59,7 @@
 private:
     asio::steady_timer m_timer;
     std::uint64_t m_left = Length;
-    bool m_cut = false;
+    bool m_interrupted = false;
 };
 
 class FakeConnection : public ServerConnection
@@ -112,7 +112,7 @@
     FakeConnection connection;
     HttpRequest request;
     SlotCall call;
-    std::optional<BodyReceiver::ReceiveResult> outcome;
+    std::optional<BodyReceiver::ReceiveResult> result;
 };
 
 // A target with two slots behind a link of 7 Mbit/s that carries one body at a time.
@@ -144,7 +144,7 @@
         call.terms.mayWait = mayWait;
         asio::co_spawn(
             context,
-            [this, &it = *upload]() -> asio::awaitable<void> { it.outcome = co_await receiver.receive(it.request, it.call, it.connection); },
+            [this, &it = *upload]() -> asio::awaitable<void> { it.result = co_await receiver.receive(it.request, it.call, it.connection); },
             asio::detached);
         runReady();
         return upload;
@@ -164,7 +164,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_SUITE(bodies, Fixture)
+BOOST_FIXTURE_TEST_SUITE(bodyreceiver, Fixture)
 
 // The link carries one upload at a time: the second starts once the first is complete, and one that
 // may not wait is rejected meanwhile.
@@ -173,32 +173,32 @@
     const auto first = offer(Milliseconds(30000));
     const auto second = offer(Milliseconds(30000));
     const auto third = offer(Milliseconds(30000), false);
-    BOOST_REQUIRE(third->outcome.has_value());
-    BOOST_TEST((third->outcome->status == BodyReceiver::Status::Rejected));
+    BOOST_REQUIRE(third->result.has_value());
+    BOOST_TEST((third->result->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
-    BOOST_REQUIRE(first->outcome.has_value());
-    BOOST_TEST((first->outcome->status == BodyReceiver::Status::Complete));
+    BOOST_REQUIRE(first->result.has_value());
+    BOOST_TEST((first->result->status == BodyReceiver::Status::Complete));
     BOOST_TEST(first->request.body().size() == FakeBody::Length);
-    BOOST_TEST(!second->outcome.has_value());
+    BOOST_TEST(!second->result.has_value());
     second->connection.body.arrive();
     runReady();
-    BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Complete));
+    BOOST_REQUIRE(second->result.has_value());
+    BOOST_TEST((second->result->status == BodyReceiver::Status::Complete));
 }
 
 // An ingress dies while it sends a body. The next body can start.
-BOOST_AUTO_TEST_CASE(ABodyCutOffFreesTheLink)
+BOOST_AUTO_TEST_CASE(AnInterruptedBodyFreesTheLink)
 {
     const auto first = offer(Milliseconds(30000));
     const auto second = offer(Milliseconds(30000));
-    first->connection.body.cutOff();
+    first->connection.body.interrupt();
     runReady();
-    BOOST_REQUIRE(first->outcome.has_value());
-    BOOST_TEST((first->outcome->status == BodyReceiver::Status::Interrupted));
+    BOOST_REQUIRE(first->result.has_value());
+    BOOST_TEST((first->result->status == BodyReceiver::Status::Interrupted));
     second->connection.body.arrive();
     runReady();
-    BOOST_TEST((second->outcome.value().status == BodyReceiver::Status::Complete));
+    BOOST_TEST((second->result.value().status == BodyReceiver::Status::Complete));
 }
 
 // A caller disconnects while its upload waits for the link. No part of the body is ever read.
@@ -208,8 +208,8 @@
     const auto second = offer(Milliseconds(30000));
     second->connection.cancellation().cancel();
     runReady();
-    BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
+    BOOST_REQUIRE(second->result.has_value());
+    BOOST_TEST((second->result->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
     BOOST_TEST(!second->connection.body.readStarted());
@@ -221,13 +221,13 @@
 BOOST_AUTO_TEST_CASE(AnIdleTargetAcceptsUploadsExpectedToBeLate)
 {
     const auto first = offer(Milliseconds(5));
-    BOOST_TEST(!first->outcome.has_value());
+    BOOST_TEST(!first->result.has_value());
     const auto second = offer(Milliseconds(5));
-    BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
+    BOOST_REQUIRE(second->result.has_value());
+    BOOST_TEST((second->result->status == BodyReceiver::Status::Rejected));
     first->connection.body.arrive();
     runReady();
-    BOOST_TEST((first->outcome.value().status == BodyReceiver::Status::Complete));
+    BOOST_TEST((first->result.value().status == BodyReceiver::Status::Complete));
 }
 
 // The target starts draining while an upload waits for the link.
@@ -237,10 +237,10 @@
     const auto second = offer(Milliseconds(30000));
     receiver.rejectWaiting();
     runReady();
-    BOOST_REQUIRE(second->outcome.has_value());
-    BOOST_TEST((second->outcome->status == BodyReceiver::Status::Rejected));
-    BOOST_TEST(!first->outcome.has_value());
-    first->connection.body.cutOff();
+    BOOST_REQUIRE(second->result.has_value());
+    BOOST_TEST((second->result->status == BodyReceiver::Status::Rejected));
+    BOOST_TEST(!first->result.has_value());
+    first->connection.body.interrupt();
     runReady();
 }
 
--- a/autotests/unit/callpathtest.cpp
+++ b/autotests/unit/callpathtest.cpp
@@ -13,12 +13,12 @@
 const std::string Address = testAddress(3);
 const Endpoint IngressEndpoint{Address, 8080};
 const Endpoint SidecarEndpoint{Address, 8081};
-const Endpoint RefusingEndpoint{Address, 8082};
+const Endpoint RejectingEndpoint{Address, 8082};
 const Endpoint TargetEndpoint{Address, 9000};
 
 constexpr std::size_t LargeBytes = 32 * 1024 * 1024;
 
-// Produces a body of a given length, or cuts it off early.
+// Produces a body of a given length, or truncates it.
 class GeneratedBody : public BodySource
 {
 public:
@@ -26,7 +26,7 @@
         : m_length(length)
         , m_left(available)
         , m_lengthKnown(lengthKnown)
-        , m_cut(available < length)
+        , m_truncated(available < length)
     {
     }
 
@@ -43,7 +43,7 @@
 
     bool done() const override
     {
-        return m_left == 0 && !m_cut;
+        return m_left == 0 && !m_truncated;
     }
 
     bool readStarted() const override
@@ -60,7 +60,7 @@
     std::size_t m_length;
     std::size_t m_left;
     bool m_lengthKnown;
-    bool m_cut;
+    bool m_truncated;
 };
 
 MemberRecord member(const std::string &name, const Endpoint &sidecar)
@@ -106,8 +106,8 @@
             .handler = [this](HttpRequest request, ServerConnection &connection) { return sidecar.handle(std::move(request), connection); },
             .limits = {.bodyBytes = 1U << 30U},
             .streamBodies = true}};
-    HttpServer refusingServer{context,
-        {.endpoint = RefusingEndpoint,
+    HttpServer rejectingServer{context,
+        {.endpoint = RejectingEndpoint,
             .handler = [](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> {
                 co_return notRunResponse(http::status::service_unavailable, "refused", "full");
             },
@@ -122,7 +122,7 @@
     Fixture()
     {
         setMembers({member("a", SidecarEndpoint)});
-        for (auto *server : {&ingressServer, &sidecarServer, &refusingServer, &target}) {
+        for (auto *server : {&ingressServer, &sidecarServer, &rejectingServer, &target}) {
             BOOST_REQUIRE(server->listen().has_value());
         }
         sidecar.start();
@@ -298,7 +298,7 @@
         thread.join();
     }
     const auto peak = HeapCounter::peakBytes - before;
-    BOOST_TEST_MESSAGE("peak bytes held for " << Callers << " callers: " << peak);
+    BOOST_TEST_MESSAGE("peak heap bytes for " << Callers << " callers: " << peak);
     BOOST_TEST(complete == 3 * Callers);
     BOOST_TEST(peak < 2 * 1024 * 1024 * Callers);
 }
@@ -317,12 +317,12 @@
     BOOST_TEST(becomesIdle());
 }
 
-// One of two sidecars rejects all calls. The ingress can go on to the other one only because it waits
+// One of two sidecars rejects all calls. The ingress can offer the call to the other one only because it waits
 // for 100 Continue before it sends a large body: a part that has been sent cannot be sent again, and
 // the call would fail though a target has free slots.
 BOOST_FIXTURE_TEST_CASE(SendsALargeBodyOnlyToASidecarThatAcceptsIt, Fixture)
 {
-    setMembers({member("a", SidecarEndpoint), member("b", RefusingEndpoint)});
+    setMembers({member("a", SidecarEndpoint), member("b", RejectingEndpoint)});
     for (int i = 0; i < 8; ++i) {
         RawClient caller(IngressEndpoint);
         BOOST_TEST(upload(caller) == std::to_string(LargeBytes) + ";");
--- a/autotests/unit/ingressretrybudgettest.cpp
+++ b/autotests/unit/ingressretrybudgettest.cpp
@@ -101,7 +101,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_SUITE(budget, Fixture)
+BOOST_FIXTURE_TEST_SUITE(ingressretrybudget, Fixture)
 
 BOOST_AUTO_TEST_CASE(RetriesAFailedCallWithinTheBudget)
 {
@@ -119,7 +119,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(SidecarLearnsWhetherACallIsARetry)
+BOOST_AUTO_TEST_CASE(TermsHeaderStatesWhetherACallIsARetry)
 {
     const CallTerms terms{.priority = 1, .mayWait = false, .isRetry = true};
     HttpRequest request;
--- a/autotests/unit/slotqueuetest.cpp
+++ b/autotests/unit/slotqueuetest.cpp
@@ -61,7 +61,7 @@
         return call;
     }
 
-    void enter(SlotCall &call, FakeConnection &connection, std::optional<bool> &result)
+    void acquire(SlotCall &call, FakeConnection &connection, std::optional<bool> &result)
     {
         asio::co_spawn(
             context, [&]() -> asio::awaitable<void> { result = co_await slots->acquire(call, connection); }, asio::detached);
@@ -78,8 +78,8 @@
     std::shared_ptr<SlotQueue> slots;
     FakeConnection first;
     FakeConnection second;
-    std::optional<bool> firstEntered;
-    std::optional<bool> secondEntered;
+    std::optional<bool> firstAcquired;
+    std::optional<bool> secondAcquired;
 };
 
 }
@@ -91,16 +91,16 @@
 BOOST_AUTO_TEST_CASE(OnlyCallsThatMayWaitAreQueued)
 {
     auto running = call(Milliseconds(30000));
-    enter(running, first, firstEntered);
+    acquire(running, first, firstAcquired);
     runReady();
-    BOOST_TEST(firstEntered.value());
+    BOOST_TEST(firstAcquired.value());
     auto offered = call(Milliseconds(30000), false);
-    enter(offered, second, secondEntered);
+    acquire(offered, second, secondAcquired);
     runReady();
-    BOOST_TEST(!secondEntered.value());
+    BOOST_TEST(!secondAcquired.value());
     auto waiting = call(Milliseconds(30000));
     std::optional<bool> waited;
-    enter(waiting, second, waited);
+    acquire(waiting, second, waited);
     runReady();
     BOOST_TEST(!waited.has_value());
     BOOST_TEST(slots->waiting() == 1U);
@@ -114,15 +114,15 @@
 BOOST_AUTO_TEST_CASE(CancellingACallAsItIsAdmittedLeaksNoSlot)
 {
     auto running = call(Milliseconds(30000));
-    enter(running, first, firstEntered);
+    acquire(running, first, firstAcquired);
     auto waiting = call(Milliseconds(30000));
-    enter(waiting, second, secondEntered);
+    acquire(waiting, second, secondAcquired);
     runReady();
     slots->release(running, AdmissionController::ReleaseReason::Answered);
     second.cancellation().cancel();
     runReady();
-    BOOST_REQUIRE(secondEntered.has_value());
-    if (*secondEntered) {
+    BOOST_REQUIRE(secondAcquired.has_value());
+    if (*secondAcquired) {
         slots->release(waiting, AdmissionController::ReleaseReason::NotSent);
     }
     BOOST_TEST(slots->running() == 0U);
@@ -132,13 +132,13 @@
 BOOST_AUTO_TEST_CASE(ACancelledCallLeavesTheQueue)
 {
     auto running = call(Milliseconds(30000));
-    enter(running, first, firstEntered);
+    acquire(running, first, firstAcquired);
     auto waiting = call(Milliseconds(30000));
-    enter(waiting, second, secondEntered);
+    acquire(waiting, second, secondAcquired);
     runReady();
     second.cancellation().cancel();
     runReady();
-    BOOST_TEST(!secondEntered.value());
+    BOOST_TEST(!secondAcquired.value());
     BOOST_TEST(slots->waiting() == 0U);
     slots->release(running, AdmissionController::ReleaseReason::Answered);
     BOOST_TEST(slots->running() == 0U);
@@ -150,18 +150,18 @@
 BOOST_AUTO_TEST_CASE(RejectsAtOnceCallsThatCannotBeInTime)
 {
     auto running = call(Milliseconds(30000));
-    enter(running, first, firstEntered);
+    acquire(running, first, firstAcquired);
     runReady();
     auto urgent = call(Milliseconds(10));
-    enter(urgent, second, secondEntered);
+    acquire(urgent, second, secondAcquired);
     runReady();
-    BOOST_TEST(!secondEntered.value());
+    BOOST_TEST(!secondAcquired.value());
     auto nested = call(Milliseconds(10));
     nested.terms.hasRunningParent = true;
-    std::optional<bool> nestedEntered;
-    enter(nested, second, nestedEntered);
+    std::optional<bool> nestedAcquired;
+    acquire(nested, second, nestedAcquired);
     runReady();
-    BOOST_TEST(!nestedEntered.has_value());
+    BOOST_TEST(!nestedAcquired.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/daemon/bodyqueue.h
+++ b/src/daemon/bodyqueue.h
@@ -23,7 +23,7 @@
     // Waits until the body may start. Returns false if it was rejected or its caller disconnected.
     asio::awaitable<bool> waitForTransfer(std::uint64_t bytes, ServerConnection &connection);
 
-    // Records that a body has arrived or was cut off.
+    // Records that a body has arrived or was interrupted.
     void endTransfer();
 
     // Rejects the bodies that wait.
--- a/src/daemon/bodyreceiver.cpp
+++ b/src/daemon/bodyreceiver.cpp
@@ -43,24 +43,24 @@
 {
     auto &body = *connection.requestBody();
     const auto length = *body.length();
-    ReceiveResult outcome{.arrival = m_queue->expectedArrival(length)};
-    if (!mayReceive(call, length, outcome.arrival)) {
-        co_return outcome;
+    ReceiveResult result{.arrival = m_queue->expectedArrival(length)};
+    if (!mayReceive(call, length, result.arrival)) {
+        co_return result;
     }
-    const bool entered = co_await m_queue->waitForTransfer(length, connection);
-    if (!entered) {
-        outcome.arrival = m_queue->expectedArrival(length);
-        co_return outcome;
+    const bool admitted = co_await m_queue->waitForTransfer(length, connection);
+    if (!admitted) {
+        result.arrival = m_queue->expectedArrival(length);
+        co_return result;
     }
     m_bufferedBytes += length;
     call.bufferedBytes = length;
-    outcome.error = co_await read(request, body);
+    result.error = co_await read(request, body);
     m_queue->endTransfer();
-    outcome.status = outcome.error ? Status::Interrupted : Status::Complete;
+    result.status = result.error ? Status::Interrupted : Status::Complete;
     // Another sidecar would have to receive the body again, so the call waits here.
     call.terms.mayWait = true;
     call.terms.waitLeft.reset();
-    co_return outcome;
+    co_return result;
 }
 
 asio::awaitable<ErrorCode> BodyReceiver::read(HttpRequest &request, BodySource &body)
--- a/src/daemon/callmessages.cpp
+++ b/src/daemon/callmessages.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t TermsFields = 6;
 constexpr const char *NoWait = "no-wait";
 constexpr const char *NestedCall = "inner";
-constexpr const char *Repeat = "repeat";
+constexpr const char *Retry = "repeat";
 constexpr const char *InternalPrefix = "Galenahill-";
 
 // Parses a number that makes up the whole text.
@@ -123,7 +123,7 @@
     if (const auto left = parseNumber<std::int64_t>(parts[4])) {
         terms.waitLeft = Milliseconds(*left);
     }
-    terms.isRetry = parts[5] == Repeat;
+    terms.isRetry = parts[5] == Retry;
     return terms;
 }
 
@@ -136,7 +136,7 @@
         terms.mayWait ? "wait" : NoWait,
         terms.hasRunningParent ? NestedCall : "",
         text(terms.waitLeft),
-        terms.isRetry ? Repeat : "");
+        terms.isRetry ? Retry : "");
 }
 
 std::optional<Milliseconds> waitHeader(const HttpResponse &response)
--- a/src/daemon/callrouter.cpp
+++ b/src/daemon/callrouter.cpp
@@ -34,7 +34,7 @@
 void CallRouter::setRetryBudget(RetryBudget::Options options)
 {
     m_options.retryBudget = options;
-    for (auto &[service, budget] : m_retries) {
+    for (auto &[service, budget] : m_retryBudgets) {
         budget.setOptions(options);
     }
 }
@@ -94,7 +94,7 @@
 
 RetryBudget &CallRouter::budgetOf(const ServiceName &service)
 {
-    return m_retries.try_emplace(service, m_options.retryBudget).first->second;
+    return m_retryBudgets.try_emplace(service, m_options.retryBudget).first->second;
 }
 
 // Only one node in a call tree retries calls that may have run: with seven layers that each try
@@ -107,7 +107,7 @@
 
 // A rejection by a sidecar costs the targets nothing, so only attempts that reached a target draw on
 // the budget.
-bool CallRouter::mayRetry(IngressCall &call, AttemptResult outcome)
+bool CallRouter::mayRetry(IngressCall &call, AttemptResult result)
 {
     // Either nobody waits for the response, or a part of the streamed body has been consumed and
     // cannot be sent again.
@@ -118,13 +118,13 @@
     if (Clock::now() >= call.deadline) {
         return false;
     }
-    if (!isSent(outcome)) {
+    if (!isSent(result)) {
         return true;
     }
     if (call.attemptsSent >= call.route->maxTargets) {
         return false;
     }
-    if (mayHaveRun(outcome)) {
+    if (mayHaveRun(result)) {
         // The only place where a call could run twice: a call that may have run is retried only if
         // its route is idempotent.
         if (!isRetryable(call) || !nestedCallsHaveBudget(call)) {
@@ -140,9 +140,9 @@
     return true;
 }
 
-void CallRouter::attemptEnded(IngressCall &call, AttemptResult outcome)
+void CallRouter::attemptEnded(IngressCall &call, AttemptResult result)
 {
-    if (isSent(outcome)) {
+    if (isSent(result)) {
         ++call.attemptsSent;
         call.retryReserved = false;
         // Further attempts do not go to the canary version.
@@ -165,8 +165,8 @@
         return chooseForRetry(call);
     }
     if (call.canary != nullptr) {
-        if (const auto choice = chooseCanary(call); choice.target != nullptr) {
-            return choice;
+        if (const auto offer = chooseCanary(call); offer.target != nullptr) {
+            return offer;
         }
         call.canary = nullptr;
         call.offers = {};
@@ -182,13 +182,13 @@
 // targets.
 Offer CallRouter::chooseCanary(IngressCall &call)
 {
-    auto &asked = call.offers.offeredWithoutWaiting;
-    if (asked.size() >= MaxCanaryOffers) {
+    auto &offered = call.offers.offeredWithoutWaiting;
+    if (offered.size() >= MaxCanaryOffers) {
         return {};
     }
-    const auto *target = pickerFor(call).selectForQueueing(call.canary->targets, asked, Clock::now());
+    const auto *target = pickerFor(call).selectForQueueing(call.canary->targets, offered, Clock::now());
     if (target != nullptr) {
-        asked.push_back(target->name);
+        offered.push_back(target->name);
     }
     return {target, false};
 }
@@ -246,7 +246,7 @@
     return pickerFor(call).hasFreeSlotElsewhere(call.view->targetsOf(call.service), excluded, Clock::now());
 }
 
-void CallRouter::recordResult(const IngressCall &call, const NodeName &target, AttemptResult outcome, const Result<HttpResponse> &response)
+void CallRouter::recordResult(const IngressCall &call, const NodeName &target, AttemptResult result, const Result<HttpResponse> &response)
 {
     const auto now = Clock::now();
     auto &picker = pickerFor(call);
@@ -254,7 +254,7 @@
     if (load) {
         picker.updateReportedLoad(target, *load, now);
     }
-    switch (outcome) {
+    switch (result) {
     case AttemptResult::Answered:
         picker.attemptSucceeded(call.service, target);
         break;
--- a/src/daemon/callrouter.h
+++ b/src/daemon/callrouter.h
@@ -51,26 +51,26 @@
     // Whether the call may be sent again even if an earlier attempt may have run it.
     bool isRetryable(const IngressCall &call) const;
 
-    // Records the outcome of an attempt of the call.
-    void attemptEnded(IngressCall &call, AttemptResult outcome);
+    // Records the result of an attempt of the call.
+    void attemptEnded(IngressCall &call, AttemptResult result);
 
     // Records that no further attempt follows.
     void callEnded(IngressCall &call);
 
-    // Whether the call gets another attempt after one with this outcome. Takes the retry from the
+    // Whether the call gets another attempt after one with this result. Takes the retry from the
     // budget if it counts as one.
-    bool mayRetry(IngressCall &call, AttemptResult outcome);
+    bool mayRetry(IngressCall &call, AttemptResult result);
 
     // Whether another target has a free slot for a retry of the call now, and a retry is allowed.
     bool canRetryElsewhere(const IngressCall &call);
 
-    // Record the start and the end of an attempt at the target, and what is learnt of its load.
+    // Record the start and the end of an attempt at the target, and load reports of the target.
     void addInFlight(const IngressCall &call, const NodeName &target);
     void removeInFlight(const IngressCall &call, const NodeName &target);
     void updateExpectedWait(const IngressCall &call, const NodeName &target, Milliseconds wait);
     void updateTargetLoad(const NodeName &target, TargetLoad load, Milliseconds wait, TimePoint observed);
     void updatePoolLoad(const PoolReport &pool, TimePoint observed);
-    void recordResult(const IngressCall &call, const NodeName &target, AttemptResult outcome, const Result<HttpResponse> &response);
+    void recordResult(const IngressCall &call, const NodeName &target, AttemptResult result, const Result<HttpResponse> &response);
 
 private:
     RetryBudget &budgetOf(const ServiceName &service);
@@ -85,7 +85,7 @@
     // also wait for the inbound link of the target's VM.
     TargetPicker m_picker;
     TargetPicker m_largePicker;
-    std::unordered_map<ServiceName, RetryBudget> m_retries;
+    std::unordered_map<ServiceName, RetryBudget> m_retryBudgets;
     bool m_stopping = false;
 };
 
--- a/src/daemon/ingress.cpp
+++ b/src/daemon/ingress.cpp
@@ -44,7 +44,7 @@
               .retryBudget = options.retryBudget,
               .calledServices = [this](const RouteName &route) -> const std::vector<ServiceName> & { return guard.calledServices(route); }})
         , versions(options.seed)
-        , returnTime(options.seed)
+        , retryAfter(options.seed)
         , guard({.seed = options.seed})
     {
     }
@@ -53,10 +53,10 @@
     CallRouter router;
     TrafficSplit split;
     VersionSplit versions;
-    RetryAfter returnTime;
+    RetryAfter retryAfter;
     PriorityInversionGuard guard;
-    AttemptTimeoutPolicy attempts;
-    RouteLimiter routes{{}};
+    AttemptTimeoutPolicy attemptTimeouts;
+    RouteLimiter routeLimiter{{}};
     std::atomic<std::uint64_t> retriesMade = 0;
     std::atomic<std::uint64_t> shedCalls = 0;
     std::shared_ptr<const RoutingView> view;
@@ -67,14 +67,15 @@
     std::optional<RunningCall> parentOf(const CallId &id) const;
     asio::awaitable<HttpResponse> admit(IngressCall &call);
     asio::awaitable<HttpResponse> route(IngressCall &call);
-    asio::awaitable<Attempt> attempt(IngressCall &call, Offer choice);
-    asio::awaitable<Result<HttpResponse>> ask(IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
-    asio::awaitable<Result<HttpResponse>> askWithTimeout(
-        IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest);
+    asio::awaitable<Attempt> attempt(IngressCall &call, Offer offer);
+    asio::awaitable<Result<HttpResponse>> sendToSidecar(
+        IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &remainingBody);
+    asio::awaitable<Result<HttpResponse>> sendWithTimeout(
+        IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &remainingBody);
     void cancelOnceRetryable(const IngressCall &call, AttemptConnection &connection, const std::shared_ptr<asio::steady_timer> &timer);
     void setSidecarFields(IngressCall &call, bool mayWait) const;
-    HttpResponse refusal(const IngressCall &call);
-    HttpResponse finalAnswer(IngressCall &call, Attempt last);
+    HttpResponse rejection(const IngressCall &call);
+    HttpResponse finalResponse(IngressCall &call, Attempt last);
     void report(const IngressCall &call, const HttpResponse &response) const;
     void reportUnrouted(const IngressCall &call, unsigned status, std::string reason) const;
 };
@@ -126,8 +127,8 @@
     if (canary == nullptr || canary->targets.empty()) {
         return;
     }
-    const bool onlyOne = call.view->targetsOf(call.service).empty();
-    if (onlyOne || versions.next(call.service, canary->share)) {
+    const bool onlyCanary = call.view->targetsOf(call.service).empty();
+    if (onlyCanary || versions.next(call.service, canary->share)) {
         call.canary = canary;
         call.version = canary->version;
     }
@@ -252,28 +253,28 @@
 
 asio::awaitable<HttpResponse> Ingress::Private::admit(IngressCall &call)
 {
-    if (!routes.tryAcquire(call.route->name)) {
+    if (!routeLimiter.tryAcquire(call.route->name)) {
         co_return notRunResponse(http::status::service_unavailable,
             "refused",
             fmt::format("this node has reached its limit of concurrent calls, for route {} or in total", call.route->name.value()));
     }
     // A nested call is never shed here: the work of its parent call would be lost.
     if (!call.hasRunningParent && guard.shouldShed(*call.route, call.begin)) {
-        routes.release(call.route->name);
+        routeLimiter.release(call.route->name);
         ++shedCalls;
         call.reason = fmt::format("shed: a share of {:.2f} of the higher-priority calls to the services that this route calls is being rejected",
             guard.higherPriorityRejectionRatio(*call.route, call.begin));
-        co_return refusal(call);
+        co_return rejection(call);
     }
     auto response = co_await route(call);
-    routes.release(call.route->name);
+    routeLimiter.release(call.route->name);
     if (!call.hasRunningParent) {
         guard.callEnded(*call.route, call.service, callResultOf(response) == CallResult::NotRun && call.attemptsSent == 0, Clock::now());
     }
     co_return response;
 }
 
-HttpResponse Ingress::Private::finalAnswer(IngressCall &call, Attempt last)
+HttpResponse Ingress::Private::finalResponse(IngressCall &call, Attempt last)
 {
     if (last.result == AttemptResult::Answered || last.result == AttemptResult::Failed || last.result == AttemptResult::Overloaded) {
         stripFields(last.response, options.headerNames);
@@ -284,16 +285,16 @@
         return outcomeUnknownResponse(fmt::format("call {} may have run; check its effect before retrying it", call.id.value()),
             late ? http::status::gateway_timeout : http::status::bad_gateway);
     }
-    return refusal(call);
+    return rejection(call);
 }
 
-HttpResponse Ingress::Private::refusal(const IngressCall &call)
+HttpResponse Ingress::Private::rejection(const IngressCall &call)
 {
     const auto left = std::chrono::duration_cast<Milliseconds>(call.callerDeadline - Clock::now());
     return notRunResponse(http::status::service_unavailable,
         "refused",
         fmt::format("call {} was not run: no target of {} accepts it at present", call.id.value(), call.service.value()),
-        returnTime.delay(call.reportedWait.value_or(Milliseconds(0)), left));
+        retryAfter.delay(call.reportedWait.value_or(Milliseconds(0)), left));
 }
 
 asio::awaitable<HttpResponse> Ingress::Private::route(IngressCall &call)
@@ -301,21 +302,21 @@
     router.callStarted(call);
     Attempt last;
     std::optional<Attempt> failed;
-    auto choice = router.choose(call);
-    while (choice.target != nullptr) {
-        call.lastTarget = choice.target->name;
-        last = co_await attempt(call, choice);
-        const auto outcome = last.result;
-        router.attemptEnded(call, outcome);
-        if (outcome == AttemptResult::Answered || !router.mayRetry(call, outcome)) {
+    auto offer = router.choose(call);
+    while (offer.target != nullptr) {
+        call.lastTarget = offer.target->name;
+        last = co_await attempt(call, offer);
+        const auto result = last.result;
+        router.attemptEnded(call, result);
+        if (result == AttemptResult::Answered || !router.mayRetry(call, result)) {
             break;
         }
-        if (outcome == AttemptResult::Failed) {
+        if (result == AttemptResult::Failed) {
             failed = std::move(last);
             last = Attempt();
         }
-        choice = router.choose(call);
-        retriesMade += choice.target != nullptr && isSent(outcome) ? 1 : 0;
+        offer = router.choose(call);
+        retriesMade += offer.target != nullptr && isSent(result) ? 1 : 0;
     }
     router.callEnded(call);
     // An error response of a target tells the caller more than a rejection or a timeout of the
@@ -330,7 +331,7 @@
         co_await call.connection.sendStreamed(std::move(last.response), *last.remainingBody);
         co_return sent;
     }
-    co_return finalAnswer(call, std::move(last));
+    co_return finalResponse(call, std::move(last));
 }
 
 void Ingress::Private::setSidecarFields(IngressCall &call, bool mayWait) const
@@ -372,30 +373,30 @@
 }
 
 // Sends the call to the target's sidecar. An Unavailable error means that it was not sent.
-asio::awaitable<Result<HttpResponse>> Ingress::Private::ask(
-    IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest)
+asio::awaitable<Result<HttpResponse>> Ingress::Private::sendToSidecar(
+    IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &remainingBody)
 {
     const auto sidecar = target.sidecar();
     if (options.callLocalSidecar && sidecar == options.localSidecar) {
         co_return co_await options.callLocalSidecar(call.request, connection);
     }
-    HttpClient::ExchangeOptions companions;
-    companions.cancellation = &connection.cancellation();
-    companions.requestBody = connection.requestBody();
-    companions.expectContinue = true;
-    companions.responseBody = &rest;
-    co_return co_await options.client.exchange(sidecar, call.request, call.deadline, companions);
+    HttpClient::ExchangeOptions exchangeOptions;
+    exchangeOptions.cancellation = &connection.cancellation();
+    exchangeOptions.requestBody = connection.requestBody();
+    exchangeOptions.expectContinue = true;
+    exchangeOptions.responseBody = &remainingBody;
+    co_return co_await options.client.exchange(sidecar, call.request, call.deadline, exchangeOptions);
 }
 
-// Sends the call as `ask` does, but cancels the attempt once it exceeds the attempt timeout and
-// another target can take a retry.
-asio::awaitable<Result<HttpResponse>> Ingress::Private::askWithTimeout(
-    IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &rest)
+// Sends the call like sendToSidecar(), but cancels the attempt once it exceeds the attempt timeout
+// and another target can take a retry.
+asio::awaitable<Result<HttpResponse>> Ingress::Private::sendWithTimeout(
+    IngressCall &call, const MemberRecord &target, AttemptConnection &connection, std::unique_ptr<BodySource> &remainingBody)
 {
-    const auto softDeadline = attempts.attemptDeadline(call.route->name, Clock::now(), call.deadline);
+    const auto softDeadline = attemptTimeouts.attemptDeadline(call.route->name, Clock::now(), call.deadline);
     const auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor, softDeadline);
     cancelOnceRetryable(call, connection, timer);
-    co_return co_await ask(call, target, connection, rest);
+    co_return co_await sendToSidecar(call, target, connection, remainingBody);
 }
 
 // A slow target may still respond. If the attempt were cancelled while no other target has a free
@@ -418,33 +419,34 @@
     });
 }
 
-asio::awaitable<Attempt> Ingress::Private::attempt(IngressCall &call, Offer choice)
+asio::awaitable<Attempt> Ingress::Private::attempt(IngressCall &call, Offer offer)
 {
     const auto begin = Clock::now();
     if (call.deadline - begin < Milliseconds(1)) {
         co_return Attempt{};
     }
-    const auto &target = *choice.target;
-    setSidecarFields(call, choice.mayWait);
+    const auto &target = *offer.target;
+    setSidecarFields(call, offer.mayWait);
     router.addInFlight(call, target.name);
-    Attempt result;
+    Attempt attempt;
     auto &connection = call.attemptConnection.emplace(call.connection);
     const bool retryable = options.policy.retryBudget && router.isRetryable(call);
-    auto exchange = retryable ? askWithTimeout(call, target, connection, result.remainingBody) : ask(call, target, connection, result.remainingBody);
+    auto exchange
+        = retryable ? sendWithTimeout(call, target, connection, attempt.remainingBody) : sendToSidecar(call, target, connection, attempt.remainingBody);
     auto response = co_await std::move(exchange);
     router.removeInFlight(call, target.name);
-    result.result = attemptResultOf(response, options.headerNames);
+    attempt.result = attemptResultOf(response, options.headerNames);
     if (call.connection.cancellation().cancelled()) {
         // The caller cancelled the call, which says nothing about the target.
-        co_return result;
+        co_return attempt;
     }
-    router.recordResult(call, target.name, result.result, response);
-    if (result.result == AttemptResult::Answered || result.result == AttemptResult::OutcomeUnknown) {
-        attempts.record(call.route->name, std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - begin));
+    router.recordResult(call, target.name, attempt.result, response);
+    if (attempt.result == AttemptResult::Answered || attempt.result == AttemptResult::OutcomeUnknown) {
+        attemptTimeouts.record(call.route->name, std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - begin));
     }
     if (!response) {
         call.reason = response.error().message;
-        co_return result;
+        co_return attempt;
     }
     if (auto services = calledServicesHeader(*response); !services.empty()) {
         guard.setCalledServices(call.route->name, std::move(services));
@@ -453,14 +455,14 @@
     if (wait || loadHeader(*response)) {
         router.updateExpectedWait(call, target.name, wait.value_or(Milliseconds(0)));
     }
-    if (wait && result.result == AttemptResult::NotRun) {
+    if (wait && attempt.result == AttemptResult::NotRun) {
         call.reportedWait = std::min(call.reportedWait.value_or(*wait), *wait);
     }
-    if (result.result != AttemptResult::Answered) {
+    if (attempt.result != AttemptResult::Answered) {
         call.reason = response->body().substr(0, MaxReasonBytes);
     }
-    result.response = std::move(*response);
-    co_return result;
+    attempt.response = std::move(*response);
+    co_return attempt;
 }
 
 }
--- a/src/daemon/ingress.h
+++ b/src/daemon/ingress.h
@@ -19,7 +19,7 @@
 
 namespace Galenahill {
 
-// Outcome of one call and its cause, for the log.
+// Result of one call and its cause, for the log.
 struct CallReport
 {
     CallId id;
@@ -76,8 +76,8 @@
         // Called when the local target, while it runs a call of the route, makes a nested call to the
         // service. May be null.
         std::function<void(const RouteName &route, const ServiceName &service)> nestedCallMade;
-        // Called with the outcome of each call when its final response is ready.
-        std::function<void(const RouteDefinition &route, CallResult end, std::chrono::microseconds latency)> callEnded;
+        // Called with the result of each call when its final response is ready.
+        std::function<void(const RouteDefinition &route, CallResult result, std::chrono::microseconds latency)> callEnded;
         // Called with the full details of each call. May be null.
         std::function<void(const CallReport &report)> callReported;
     };
--- a/src/daemon/ingresscall.cpp
+++ b/src/daemon/ingresscall.cpp
@@ -26,14 +26,14 @@
     return host.substr(0, host.find(':'));
 }
 
-bool isSent(AttemptResult outcome)
+bool isSent(AttemptResult result)
 {
-    return outcome != AttemptResult::NotRun;
+    return result != AttemptResult::NotRun;
 }
 
-bool mayHaveRun(AttemptResult outcome)
+bool mayHaveRun(AttemptResult result)
 {
-    return outcome == AttemptResult::OutcomeUnknown || outcome == AttemptResult::Overloaded || outcome == AttemptResult::Failed;
+    return result == AttemptResult::OutcomeUnknown || result == AttemptResult::Overloaded || result == AttemptResult::Failed;
 }
 
 AttemptResult attemptResultOf(const Result<HttpResponse> &response, const CallHeaderNames &headerNames)
--- a/src/daemon/ingresscall.h
+++ b/src/daemon/ingresscall.h
@@ -48,7 +48,7 @@
     std::uint32_t unknownOutcomes = 0;
     std::optional<Milliseconds> reportedWait;
     std::string reason;
-    // Whether a node nearer to the first caller retries the call if it fails.
+    // Whether a node closer to the first caller retries the call if it fails.
     bool retriedAbove = false;
     // Whether the body is long enough to occupy a slow link for a while.
     bool hasLargeBody = false;
@@ -60,7 +60,7 @@
     bool parentIsRetry = false;
 };
 
-// Outcome of one attempt.
+// Result of one attempt.
 enum class AttemptResult {
     Answered,
     // The target ran the call and returned an error.
@@ -84,18 +84,18 @@
     std::unique_ptr<BodySource> remainingBody;
 };
 
-// Outcome of the call whose final response this is.
+// Result of the call whose final response this is.
 CallResult callResultOf(const HttpResponse &response);
 
-// Outcome of the attempt that got this response. An Unavailable error means that the call was not
+// Result of the attempt that got this response. An Unavailable error means that the call was not
 // sent. If there is a header for it, only that header in the target's response proves that the target
 // did not run the call; a status of 503 does not.
 AttemptResult attemptResultOf(const Result<HttpResponse> &response, const CallHeaderNames &headerNames);
 
-// Whether an attempt with this outcome reached the target, and whether the target may have run the
+// Whether an attempt with this result reached the target, and whether the target may have run the
 // call.
-bool isSent(AttemptResult outcome);
-bool mayHaveRun(AttemptResult outcome);
+bool isSent(AttemptResult result);
+bool mayHaveRun(AttemptResult result);
 
 // The request's path without the query, and its host without the port.
 std::string_view pathOf(const HttpRequest &request);
--- a/src/daemon/metricstext.cpp
+++ b/src/daemon/metricstext.cpp
@@ -10,12 +10,12 @@
 void appendRoute(std::string &text, const RouteReport &report)
 {
     const auto &route = report.route.value();
-    for (std::size_t end = 0; end < CallResultKinds; ++end) {
+    for (std::size_t result = 0; result < CallResultKinds; ++result) {
         text += fmt::format("galenahill_calls_total{{route=\"{}\",type=\"{}\",end=\"{}\"}} {}\n",
             route,
             toString(report.type),
-            toString(static_cast<CallResult>(end)),
-            report.results[end]);
+            toString(static_cast<CallResult>(result)),
+            report.results[result]);
     }
 }
 
--- a/src/daemon/metricstext.h
+++ b/src/daemon/metricstext.h
@@ -14,8 +14,7 @@
 // Formats the metrics in the Prometheus text format, version 0.0.4.
 std::string metricsText(const NodeGauges &gauges, const std::vector<RouteReport> &routes);
 
-// Encode and decode route reports as JSON for other nodes. A text that does not decode gives no
-// reports.
+// Encode and decode route reports as JSON for other nodes. Unparsable text yields no reports.
 std::string reportsToJson(const std::vector<RouteReport> &reports);
 std::vector<RouteReport> reportsFromJson(const std::string &json);
 
--- a/src/daemon/rolloutservice.cpp
+++ b/src/daemon/rolloutservice.cpp
@@ -199,9 +199,9 @@
     d->control.setLocalVersion(version, Clock::now() + warmUpLeft);
 }
 
-void RolloutService::callEnded(const RouteName &route, TargetResult end, std::chrono::microseconds time)
+void RolloutService::callEnded(const RouteName &route, TargetResult result, std::chrono::microseconds time)
 {
-    d->control.callEnded(route, end, std::chrono::duration_cast<Milliseconds>(time), Clock::now());
+    d->control.callEnded(route, result, std::chrono::duration_cast<Milliseconds>(time), Clock::now());
 }
 
 bool RolloutService::isSynced() const
--- a/src/daemon/rolloutservice.h
+++ b/src/daemon/rolloutservice.h
@@ -42,7 +42,7 @@
     void reportReceived(const Endpoint &from, const RolloutReport &report);
     void setMembers(const std::vector<MemberRecord> &members);
     void setLocalVersion(const TargetVersion &version, Milliseconds warmUpLeft);
-    void callEnded(const RouteName &route, TargetResult end, std::chrono::microseconds time);
+    void callEnded(const RouteName &route, TargetResult result, std::chrono::microseconds time);
 
     // Whether this node has read the specs in the store, or has stopped waiting for the store. Until
     // then its target must not get calls.
--- a/src/daemon/sidecar.cpp
+++ b/src/daemon/sidecar.cpp
@@ -54,7 +54,7 @@
     asio::awaitable<void> probe();
     void setState(MemberState newState);
     std::string callIdOf(const HttpRequest &request) const;
-    std::string refusal(const HttpRequest &request) const;
+    std::string rejectionReason(const HttpRequest &request) const;
     HttpResponse reject(const std::string &reason) const;
     HttpResponse rejectFull(const SlotCall &call) const;
     void logRejection(const SlotCall &call, const std::string &reason) const;
@@ -65,8 +65,8 @@
     HttpResponse rejectBody(const SlotCall &call, TimePoint arrival) const;
     asio::awaitable<HttpResponse> forward(HttpRequest request, SlotCall call, ServerConnection &connection);
     HttpRequest targetRequest(HttpRequest request, const SlotCall &call) const;
-    AdmissionController::ReleaseReason releaseReasonOf(const HttpResponse &response, ResponseClass verdict) const;
-    HttpResponse responseOf(HttpResponse response, ResponseClass verdict) const;
+    AdmissionController::ReleaseReason releaseReasonOf(const HttpResponse &response, ResponseClass responseClass) const;
+    HttpResponse responseOf(HttpResponse response, ResponseClass responseClass) const;
 };
 
 Sidecar::Sidecar(Options options)
@@ -148,7 +148,7 @@
     }
 }
 
-std::string Sidecar::Private::refusal(const HttpRequest &request) const
+std::string Sidecar::Private::rejectionReason(const HttpRequest &request) const
 {
     if (request[CallHeaders::Service] != options.service.value()) {
         return "the target belongs to another service than the call";
@@ -172,17 +172,18 @@
 
 LocalTargetLoad Sidecar::Private::load() const
 {
-    const bool takesCalls = state == MemberState::Ready && !slots->draining();
-    const auto wait = options.policy.byUrgency && takesCalls ? slots->expectedWait() : Microseconds(0);
-    return {{slots->running() + static_cast<std::uint32_t>(slots->waiting()), takesCalls ? slots->limit() : 0}, std::chrono::duration_cast<Milliseconds>(wait)};
+    const bool acceptsCalls = state == MemberState::Ready && !slots->draining();
+    const auto wait = options.policy.byUrgency && acceptsCalls ? slots->expectedWait() : Microseconds(0);
+    return {
+        {slots->running() + static_cast<std::uint32_t>(slots->waiting()), acceptsCalls ? slots->limit() : 0}, std::chrono::duration_cast<Milliseconds>(wait)};
 }
 
 void Sidecar::Private::reportLoad(HttpResponse &response) const
 {
-    const auto own = load();
-    response.set(CallHeaders::Load, formatLoad(own.load));
-    if (own.wait.count() > 0) {
-        response.set(CallHeaders::WaitMs, std::to_string(own.wait.count()));
+    const auto localLoad = load();
+    response.set(CallHeaders::Load, formatLoad(localLoad.load));
+    if (localLoad.wait.count() > 0) {
+        response.set(CallHeaders::WaitMs, std::to_string(localLoad.wait.count()));
     }
 }
 
@@ -247,10 +248,10 @@
     return request;
 }
 
-AdmissionController::ReleaseReason Sidecar::Private::releaseReasonOf(const HttpResponse &response, ResponseClass verdict) const
+AdmissionController::ReleaseReason Sidecar::Private::releaseReasonOf(const HttpResponse &response, ResponseClass responseClass) const
 {
     using Reason = AdmissionController::ReleaseReason;
-    switch (verdict) {
+    switch (responseClass) {
     case ResponseClass::NotExecuted:
         return Reason::Overloaded;
     case ResponseClass::Untrusted:
@@ -264,9 +265,9 @@
 }
 
 // Returns the response to the ingress for the target's response.
-HttpResponse Sidecar::Private::responseOf(HttpResponse response, ResponseClass verdict) const
+HttpResponse Sidecar::Private::responseOf(HttpResponse response, ResponseClass responseClass) const
 {
-    switch (verdict) {
+    switch (responseClass) {
     case ResponseClass::NotExecuted: {
         auto rejected = notRunResponse(http::status::service_unavailable, "refused", "the target states that it did not run the call");
         rejected.set(CallHeaders::Outcome, CallHeaders::NotRunByTarget);
@@ -287,23 +288,23 @@
     using Reason = AdmissionController::ReleaseReason;
     const auto &headerNames = options.headerNames;
     auto forwarded = targetRequest(std::move(request), call);
-    std::unique_ptr<BodySource> rest;
-    HttpClient::ExchangeOptions companions;
-    companions.cancellation = &connection.cancellation();
-    companions.requestBody = call.bufferedBytes > 0 ? nullptr : connection.requestBody();
-    companions.responseBody = &rest;
+    std::unique_ptr<BodySource> remainingBody;
+    HttpClient::ExchangeOptions exchangeOptions;
+    exchangeOptions.cancellation = &connection.cancellation();
+    exchangeOptions.requestBody = call.bufferedBytes > 0 ? nullptr : connection.requestBody();
+    exchangeOptions.responseBody = &remainingBody;
     if (forwarded.count(CallHeaders::RetriedAbove) == 0 && !headerNames.notExecuted.empty()) {
-        companions.maxIdle = MaxIdleWithoutRetry;
+        exchangeOptions.maxIdle = MaxIdleWithoutRetry;
     }
     if (!headerNames.requestId.empty()) {
-        companions.matchesRequest = [&](const http::fields &fields) {
+        exchangeOptions.matchesRequest = [&](const http::fields &fields) {
             const auto id = fields[headerNames.requestId];
             return id.empty() || id == forwarded[headerNames.requestId];
         };
     }
     running.insert_or_assign(call.id, RunningCall{call.route, call.terms.priority, call.terms.isRetry});
     const auto begin = Clock::now();
-    auto response = co_await options.client.exchange(options.target, forwarded, call.deadline, companions);
+    auto response = co_await options.client.exchange(options.target, forwarded, call.deadline, exchangeOptions);
     running.erase(call.id);
     const auto time = std::chrono::duration_cast<Microseconds>(Clock::now() - begin);
     if (options.stageEnded) {
@@ -311,31 +312,31 @@
         options.stageEnded(CallStage::Target, time);
     }
     if (response) {
-        const auto verdict = classifyResponse(headerNames,
+        const auto responseClass = classifyResponse(headerNames,
             {.status = response->result_int(),
                 .hasOriginMarker = response->count(headerNames.originMarker) > 0,
                 .isMarkedNotExecuted = response->count(headerNames.notExecuted) > 0,
                 .hasEncoding = response->count(http::field::content_encoding) > 0});
-        const auto reason = releaseReasonOf(*response, verdict);
-        if (options.callEnded && verdict != ResponseClass::NotExecuted) {
-            options.callEnded(call.route, verdict == ResponseClass::Failed ? TargetResult::Failed : TargetResult::Answered, time);
+        const auto reason = releaseReasonOf(*response, responseClass);
+        if (options.callEnded && responseClass != ResponseClass::NotExecuted) {
+            options.callEnded(call.route, responseClass == ResponseClass::Failed ? TargetResult::Failed : TargetResult::Answered, time);
         }
-        const bool streamed = rest && (verdict == ResponseClass::Answered || verdict == ResponseClass::Failed);
-        auto answer = responseOf(std::move(*response), verdict);
+        const bool streamed = remainingBody && (responseClass == ResponseClass::Answered || responseClass == ResponseClass::Failed);
+        auto ingressResponse = responseOf(std::move(*response), responseClass);
         if (const auto *services = calledServices.servicesOf(call.route)) {
-            answer.set(CallHeaders::Calls, formatCalledServices(*services));
+            ingressResponse.set(CallHeaders::Calls, formatCalledServices(*services));
         }
         if (streamed) {
-            reportLoad(answer);
-            co_await connection.sendStreamed(std::move(answer), *rest);
+            reportLoad(ingressResponse);
+            co_await connection.sendStreamed(std::move(ingressResponse), *remainingBody);
             slots->release(call, reason);
-            co_return answer;
+            co_return ingressResponse;
         }
         // The reported load leaves this call out: otherwise a target with one slot would never appear to
         // have a free one.
         slots->release(call, reason);
-        reportLoad(answer);
-        co_return answer;
+        reportLoad(ingressResponse);
+        co_return ingressResponse;
     }
     if (response.error().kind == ErrorKind::Unavailable) {
         slots->release(call, Reason::NotSent);
@@ -371,23 +372,24 @@
     }
     auto response = reject("the inbound link or all slots of the target are in use");
     const auto wait = std::chrono::duration_cast<Milliseconds>(arrival - Clock::now());
-    const auto late = std::chrono::duration_cast<Milliseconds>(slots->costOf(call));
-    response.set(CallHeaders::WaitMs, std::to_string((wait + late).count()));
+    const auto cost = std::chrono::duration_cast<Milliseconds>(slots->costOf(call));
+    response.set(CallHeaders::WaitMs, std::to_string((wait + cost).count()));
     return response;
 }
 
 // Buffers the call's body. Returns the rejection if that fails, or nothing once the body is complete.
 asio::awaitable<std::optional<HttpResponse>> Sidecar::Private::bufferBody(HttpRequest &request, SlotCall &call, ServerConnection &connection)
 {
-    const auto outcome = co_await bodyReceiver.receive(request, call, connection);
-    if (outcome.status == BodyReceiver::Status::Rejected) {
-        co_return rejectBody(call, outcome.arrival);
+    const auto result = co_await bodyReceiver.receive(request, call, connection);
+    if (result.status == BodyReceiver::Status::Rejected) {
+        co_return rejectBody(call, result.arrival);
     }
     if (options.stageEnded) {
         options.stageEnded(CallStage::Body, std::chrono::duration_cast<Microseconds>(Clock::now() - call.arrived));
     }
     // The target may have started draining while the body arrived.
-    const auto reason = outcome.status == BodyReceiver::Status::Interrupted ? "the request body was cut off: " + outcome.error.message() : refusal(request);
+    const auto reason
+        = result.status == BodyReceiver::Status::Interrupted ? "the request body was cut off: " + result.error.message() : rejectionReason(request);
     if (!reason.empty()) {
         logRejection(call, reason);
         co_return reject(reason);
@@ -409,12 +411,12 @@
     if (call.terms.objectiveLeft) {
         call.objective = call.arrived + *call.terms.objectiveLeft;
     }
-    if (const auto reason = keep->refusal(request); !reason.empty()) {
+    if (const auto reason = keep->rejectionReason(request); !reason.empty()) {
         keep->logRejection(call, reason);
         co_return keep->reject(reason);
     }
     // Releases the memory of the buffered body however the call ends.
-    const auto release = [&keep](SlotCall *buffered) { keep->bodyReceiver.release(buffered->bufferedBytes); };
+    const auto release = [&keep](SlotCall *ended) { keep->bodyReceiver.release(ended->bufferedBytes); };
     const std::unique_ptr<SlotCall, decltype(release)> bodyGuard(&call, release);
     if (BodyReceiver::buffers(connection.requestBody())) {
         auto rejected = co_await keep->bufferBody(request, call, connection);
@@ -422,12 +424,12 @@
             co_return std::move(*rejected);
         }
     }
-    const bool entered = co_await keep->slots->acquire(call, connection);
-    if (!entered) {
+    const bool acquired = co_await keep->slots->acquire(call, connection);
+    if (!acquired) {
         co_return keep->rejectFull(call);
     }
-    // After a pause of this process, or a wait for a slot, the ingress may have timed out, told its
-    // caller so and closed the connection; nobody would get the response. The target may also have
+    // After a pause of this process, or a wait for a slot, the ingress may have timed out, reported that
+    // to its caller and closed the connection; nobody would get the response. The target may also have
     // stopped accepting calls.
     const bool stopped = keep->state == MemberState::Draining || keep->guard.rejectsAll();
     if (stopped || connection.peerClosed()) {
--- a/src/daemon/sidecar.h
+++ b/src/daemon/sidecar.h
@@ -55,7 +55,7 @@
         // Called when the target cannot be reached, so that it may have exited. May be null.
         std::function<void()> targetUnreachable;
         // Called when a call of the route ends at the target, with its duration there. May be null.
-        std::function<void(const RouteName &route, TargetResult end, std::chrono::microseconds time)> callEnded;
+        std::function<void(const RouteName &route, TargetResult result, std::chrono::microseconds time)> callEnded;
         // Called when a call leaves the stage, with the time that it spent there. May be null.
         std::function<void(CallStage stage, std::chrono::microseconds time)> stageEnded;
     };
--- a/src/daemon/slotqueue.cpp
+++ b/src/daemon/slotqueue.cpp
@@ -105,8 +105,8 @@
         return latestStart(call);
     }
     const auto average = m_admission.averageLatency().count() == 0 ? UnknownLatency : m_admission.averageLatency();
-    const auto longest = std::clamp(WaitFactor * average, MinWait, MaxWait);
-    return std::min(call.acquiredAt + longest, call.deadline - m_admission.lowestBaseline());
+    const auto maxWait = std::clamp(WaitFactor * average, MinWait, MaxWait);
+    return std::min(call.acquiredAt + maxWait, call.deadline - m_admission.lowestBaseline());
 }
 
 // Time within which the target answers most calls of the route.
@@ -132,12 +132,12 @@
     return responseBy - expectedServiceTime(call);
 }
 
-bool SlotQueue::canMeetObjective(const SlotCall &call, TimePoint bodyHere) const
+bool SlotQueue::canMeetObjective(const SlotCall &call, TimePoint bodyArrival) const
 {
     const auto now = Clock::now();
     const auto slotFree = running() < limit() ? now : now + expectedWait(call);
     const auto span = std::chrono::duration<double>(latestOnTimeStart(call) - now) * MaxBodyTimeShare;
-    return std::max<TimePoint>(bodyHere, slotFree) <= now + std::chrono::duration_cast<Clock::duration>(span);
+    return std::max<TimePoint>(bodyArrival, slotFree) <= now + std::chrono::duration_cast<Clock::duration>(span);
 }
 
 CallUrgency SlotQueue::urgencyOf(const SlotCall &call) const
--- a/src/daemon/slotqueue.h
+++ b/src/daemon/slotqueue.h
@@ -41,7 +41,7 @@
     // Sets the number of calls that the target runs at a time.
     void setSlots(std::uint32_t slots);
 
-    // Resets what was learnt of the target, after the target was restarted or replaced.
+    // Discards what is known about the target, after the target was restarted or replaced.
     void restart();
 
     // Rejects the waiting calls and all further ones.
@@ -66,7 +66,7 @@
 
     // Whether the call, with its body complete at the given time, is expected to get a slot early
     // enough to be answered in time.
-    bool canMeetObjective(const SlotCall &call, TimePoint bodyHere) const;
+    bool canMeetObjective(const SlotCall &call, TimePoint bodyArrival) const;
 
     // Cost of running the call here: its expected wait plus the time by which it would miss its
     // objective.
@@ -76,7 +76,7 @@
     std::uint32_t limit() const;
     std::size_t waiting() const;
 
-    // Shortest usual latency of any route's calls; zero while unknown.
+    // Lowest baseline latency of any route's calls; zero while unknown.
     std::chrono::microseconds lowestBaseline() const;
 
 private:
--- a/src/daemon/targetprobe.cpp
+++ b/src/daemon/targetprobe.cpp
@@ -30,8 +30,8 @@
     while (!m_options.stopped()) {
         HttpRequest request(http::verb::get, m_options.path, 11);
         request.set(http::field::host, toString(m_options.target));
-        const auto answer = co_await m_options.client.exchange(m_options.target, std::move(request), Clock::now() + Timeout);
-        answered(answer);
+        const auto response = co_await m_options.client.exchange(m_options.target, std::move(request), Clock::now() + Timeout);
+        processResponse(response);
         if (m_state == MemberState::Ready) {
             co_await m_options.client.warm(m_options.target, WarmConnections, Clock::now() + Timeout);
         }
@@ -48,23 +48,23 @@
     m_options.changed(state);
 }
 
-void TargetProbe::answered(const Result<HttpResponse> &answer)
+void TargetProbe::processResponse(const Result<HttpResponse> &response)
 {
     if (m_options.stopped()) {
         return;
     }
-    if (answer && answer->result() == http::status::ok) {
+    if (response && response->result() == http::status::ok) {
         m_unanswered = 0;
         m_notReady = 0;
         setState(MemberState::Ready);
         return;
     }
-    const bool saysDraining = answer && answer->body().find("draining") != std::string::npos;
-    if (saysDraining) {
+    const bool isDraining = response && response->body().find("draining") != std::string::npos;
+    if (isDraining) {
         setState(MemberState::Draining);
         return;
     }
-    ++(answer ? m_notReady : m_unanswered);
+    ++(response ? m_notReady : m_unanswered);
     if (m_unanswered >= UnansweredThreshold || m_notReady >= NotReadyThreshold) {
         setState(MemberState::Starting);
     }
--- a/src/daemon/targetprobe.h
+++ b/src/daemon/targetprobe.h
@@ -31,7 +31,7 @@
     asio::awaitable<void> run();
 
 private:
-    void answered(const Result<HttpResponse> &answer);
+    void processResponse(const Result<HttpResponse> &response);
     void setState(MemberState state);
 
     Options m_options;
--- a/src/daemon/targetservice.cpp
+++ b/src/daemon/targetservice.cpp
@@ -9,9 +9,9 @@
 // Time between two health checks of a target whose announcement has not been confirmed yet.
 constexpr Milliseconds CheckInterval{300};
 
-const char *verdictName(TargetRegistration::RegistrationResult verdict)
+const char *registrationResultName(TargetRegistration::RegistrationResult result)
 {
-    switch (verdict) {
+    switch (result) {
     case TargetRegistration::RegistrationResult::Accepted:
         return "taken";
     case TargetRegistration::RegistrationResult::Stale:
@@ -55,8 +55,8 @@
 
 TargetRegistration::RegistrationResult TargetService::Private::processMessage(const TargetMessage &message)
 {
-    if (const auto *leaving = std::get_if<TargetDeparture>(&message)) {
-        return registration.leaveAnnounced(leaving->id, leaving->startedAt);
+    if (const auto *departure = std::get_if<TargetDeparture>(&message)) {
+        return registration.leaveAnnounced(departure->id, departure->startedAt);
     }
     return registration.targetAnnounced(std::get<TargetAnnouncement>(message), Clock::now());
 }
@@ -69,15 +69,15 @@
         keep->options.log(LogLevel::Warning, "announcement-refused", {{"reason", message.error().message}});
         co_return makeErrorResponse(http::status::bad_request, "invalid", message.error().message);
     }
-    const auto verdict = keep->processMessage(*message);
-    if (verdict == TargetRegistration::RegistrationResult::Foreign) {
+    const auto result = keep->processMessage(*message);
+    if (result == TargetRegistration::RegistrationResult::Foreign) {
         keep->options.log(
             LogLevel::Warning, "announcement-refused", {{"reason", "the announcement names another service or address than those of this VM's target"}});
         co_return makeErrorResponse(http::status::bad_request,
             "foreign",
             "this node accepts announcements only from the target of its own VM, with its configured service and address");
     }
-    keep->publish(verdictName(verdict));
+    keep->publish(registrationResultName(result));
     if (keep->registration.needsHealthCheck() && !keep->checking) {
         keep->checking = true;
         asio::co_spawn(keep->options.context, keep->check(), asio::detached);
@@ -138,9 +138,9 @@
         const auto target = *registration.target();
         HttpRequest request(http::verb::get, options.healthPath(), 11);
         request.set(http::field::host, toString(target.address));
-        const auto answer = co_await options.client.exchange(target.address, std::move(request), Clock::now() + CheckTimeout);
-        const bool same = answer && (options.targetIdField.empty() || (*answer)[options.targetIdField] == target.id);
-        const bool healthy = same && answer->result() == http::status::ok;
+        const auto response = co_await options.client.exchange(target.address, std::move(request), Clock::now() + CheckTimeout);
+        const bool same = response && (options.targetIdField.empty() || (*response)[options.targetIdField] == target.id);
+        const bool healthy = same && response->result() == http::status::ok;
         options.log(LogLevel::Info, "target-checked", {{"target", target.id}, {"healthy", healthy}, {"same_target", same}});
         registration.healthChecked(target.id, healthy, Clock::now());
         publish("checked");
