--- a/bench/calls.cpp
+++ b/bench/calls.cpp
@@ -78,8 +78,8 @@
 {
     HttpRequest request(http::verb::get, "/load", 11);
     request.set(http::field::host, toString(fleet.target(node)));
-    const auto answer = blockingExchange(fleet.target(node), std::move(request), AdminTimeout);
-    return answer ? nlohmann::json::parse(answer->body()).value(key, std::uint64_t(0)) : 0;
+    const auto response = blockingExchange(fleet.target(node), std::move(request), AdminTimeout);
+    return response ? nlohmann::json::parse(response->body()).value(key, std::uint64_t(0)) : 0;
 }
 
 void waitReady(Fleet &fleet)
@@ -90,9 +90,9 @@
     }
 }
 
-void sleepFraction(Milliseconds runTime, double share)
+void sleepFraction(Milliseconds runTime, double fraction)
 {
-    std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(static_cast<double>(runTime.count()) * share));
+    std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(static_cast<double>(runTime.count()) * fraction));
 }
 
 // Changes the behaviour of target 0 after a quarter of the run, and restores it after three
@@ -177,7 +177,7 @@
 }
 
 // Latency in milliseconds at the given quantile of the answered calls.
-double percentile(const std::vector<CallRecord> &records, double share)
+double percentile(const std::vector<CallRecord> &records, double quantile)
 {
     std::vector<std::int64_t> latencies;
     for (const auto &record : records) {
@@ -188,7 +188,7 @@
     if (latencies.empty()) {
         return 0;
     }
-    const auto position = latencies.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(latencies.size() - 1));
+    const auto position = latencies.begin() + static_cast<std::ptrdiff_t>(quantile * static_cast<double>(latencies.size() - 1));
     std::nth_element(latencies.begin(), position, latencies.end());
     return static_cast<double>(*position) / 1000;
 }
@@ -298,7 +298,7 @@
     const auto calls = reconcile(fleet, run.records);
     const auto lateCalls = loadCounter(fleet, 0, "late_calls");
     const bool planned = kind.name == "drain" || kind.name == "rolling";
-    const auto cut = countInterrupted(run.records);
+    const auto interrupted = countInterrupted(run.records);
     const nlohmann::ordered_json line = {{"bench", "calls"},
         {"commit", m_options.commit},
         {"seed", m_options.seed},
@@ -321,11 +321,11 @@
         {"crossed", calls.mismatched},
         {"refused_but_run", calls.refusedButRun},
         {"lost", calls.answeredButNotRun},
-        {"cut_off", cut},
+        {"cut_off", interrupted},
         {"late_calls", lateCalls}};
     fmt::print("{}\n", line.dump());
     std::fflush(stdout);
-    return calls.isConsistent() && (!planned || (cut == 0 && lateCalls == 0));
+    return calls.isConsistent() && (!planned || (interrupted == 0 && lateCalls == 0));
 }
 
 bool CallsExperiment::run()
--- a/bench/datapath.cpp
+++ b/bench/datapath.cpp
@@ -118,8 +118,8 @@
         .target = targetEndpoint,
         .healthPath = "/health",
         .log = [](LogLevel, std::string_view, const std::vector<LogField> &) {},
-        // Until its concurrency limit has adapted, a sidecar rejects some of the first calls; here
-        // every call must succeed.
+        // Until its concurrency limit has adapted, a sidecar rejects some of the first calls, but
+        // this benchmark needs every call to succeed.
         .policy = {.adaptive = false},
         .stateChanged = [&](MemberState state) { ready = state == MemberState::Ready; }});
     HttpServer target(targetReactor.context, {.endpoint = targetEndpoint, .handler = [](HttpRequest, ServerConnection &) -> asio::awaitable<HttpResponse> {
--- a/bench/faultchecks.cpp
+++ b/bench/faultchecks.cpp
@@ -164,11 +164,11 @@
         }
     }
     for (const auto &apply : records.applies) {
-        const bool refused = apply.error && *apply.error != ErrorKind::OutcomeUnknown;
+        const bool rejected = apply.error && *apply.error != ErrorKind::OutcomeUnknown;
         if (apply.hasInvalidFile && (!apply.error || accepted.contains(apply.id.value()))) {
             violations.push_back({"refused-not-run", fmt::format("apply {} of an invalid file was accepted", apply.id.value()), apply.endedAt});
         }
-        if (!apply.hasInvalidFile && refused && accepted.contains(apply.id.value())) {
+        if (!apply.hasInvalidFile && rejected && accepted.contains(apply.id.value())) {
             violations.push_back({"refused-not-run", fmt::format("apply {} was rejected, but took effect", apply.id.value()), apply.endedAt});
         }
     }
@@ -197,8 +197,8 @@
             continue;
         }
         for (const auto &entry : records.ledger) {
-            const bool here = std::find(fault.nodes.begin(), fault.nodes.end(), entry.node) != fault.nodes.end();
-            if (here && entry.time > fault.begin + grace && entry.time < fault.end) {
+            const bool atLeavingTarget = std::find(fault.nodes.begin(), fault.nodes.end(), entry.node) != fault.nodes.end();
+            if (atLeavingTarget && entry.time > fault.begin + grace && entry.time < fault.end) {
                 violations.push_back({"leaving-target",
                     fmt::format("call {} started at the target of node {}, which was leaving ({})", entry.call, entry.node, fault.kind),
                     entry.time});
@@ -228,10 +228,10 @@
                 continue;
             }
             const auto found = runs.find(call.id);
-            const bool ranHere = found != runs.end()
+            const bool ranAtStoppingNode = found != runs.end()
                 && std::any_of(found->second.begin(), found->second.end(), [&](const auto *entry) { return entry->node == stop.nodes.front(); });
-            const bool through = stop.kind == NodeStopFault && call.ingress == stop.nodes.front();
-            if (ranHere || through) {
+            const bool sentToStoppingIngress = stop.kind == NodeStopFault && call.ingress == stop.nodes.front();
+            if (ranAtStoppingNode || sentToStoppingIngress) {
                 violations.push_back({"planned-stop", fmt::format("call {} was interrupted by {} of node {}", call.id, stop.kind, stop.nodes.front()), ended});
             }
         }
--- a/bench/faultrecords.h
+++ b/bench/faultrecords.h
@@ -10,7 +10,7 @@
 
 namespace Galenahill {
 
-// Records of one run with faults. All times come from the steady clock, which the harness and the
+// Records of one run with faults. All times come from the monotonic clock, which the harness and the
 // targets share since they run on one machine.
 
 // A node's response to one status request.
--- a/bench/faults.cpp
+++ b/bench/faults.cpp
@@ -151,13 +151,13 @@
 bool runAndRecord(Fleet &fleet, const ExperimentOptions &options, const std::vector<NamedText> &files, FaultRunRecords &records)
 {
     const auto schedule = scheduleFaults(options.seed, fleet.size(), fleet.dataCentres(), options.quick ? QuickLength : Length);
-    FaultInjector player(fleet);
-    player.backUpStore();
+    FaultInjector injector(fleet);
+    injector.backUpStore();
     StatusPoller poller(fleet);
     records.begin = Clock::now();
     std::thread callers([&] { records.calls = sendCalls(fleet, options.seed, lastFaultEnd(schedule) + CallsAfterFaults); });
     RacingOperators operators({.nodes = controlEndpoints(fleet), .files = files, .interval = applyInterval(options.seed), .seed = options.seed});
-    records.faults = player.injectAll(schedule);
+    records.faults = injector.injectAll(schedule);
     records.applies = operators.stop();
     const bool applied = applyUntilAccepted(fleet, options.seed, files.front(), "last", records.applies);
     records.heads = headHistory(fleet);
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -47,13 +47,13 @@
 public:
     explicit Private(Options given)
         : options(std::move(given))
-        , slots(options.nodes)
+        , processes(options.nodes)
         , client(context, {.maxIdlePerEndpoint = 1})
     {
     }
 
     Options options;
-    std::vector<NodeProcesses> slots;
+    std::vector<NodeProcesses> processes;
     std::unique_ptr<ChildProcess> platform;
     asio::io_context context{1};
     HttpClient client;
@@ -98,7 +98,7 @@
 
 std::size_t Fleet::size() const
 {
-    return d->slots.size();
+    return d->processes.size();
 }
 
 std::size_t Fleet::dataCentres() const
@@ -163,7 +163,7 @@
         platform().address,
         platform().port,
         d->options.settings);
-    d->slots[node].node
+    d->processes[node].node
         = std::make_unique<ChildProcess>(std::vector<std::string>{d->options.programs + "/src/galenahilld", "--settings=" + settings}, d->path(name + ".log"));
 }
 
@@ -181,7 +181,7 @@
     if (d->options.logRuns) {
         command.emplace_back("--log-runs");
     }
-    d->slots[node].target = std::make_unique<ChildProcess>(command, d->path(fmt::format("target-{}.log", node)));
+    d->processes[node].target = std::make_unique<ChildProcess>(command, d->path(fmt::format("target-{}.log", node)));
 }
 
 Result<void> Fleet::start()
@@ -212,12 +212,12 @@
 
 ChildProcess *Fleet::nodeProcess(std::size_t node)
 {
-    return d->slots[node].node.get();
+    return d->processes[node].node.get();
 }
 
 ChildProcess *Fleet::targetProcess(std::size_t node)
 {
-    return d->slots[node].target.get();
+    return d->processes[node].target.get();
 }
 
 ChildProcess *Fleet::platformProcess()
@@ -258,7 +258,7 @@
     while (Clock::now() - begin < limit) {
         std::vector<std::optional<nlohmann::json>> results(size());
         for (std::size_t node = 0; node < size(); ++node) {
-            if (!done[node] && d->slots[node].node && d->slots[node].node->running()) {
+            if (!done[node] && d->processes[node].node && d->processes[node].node->running()) {
                 asio::co_spawn(d->context, requestStatus(d->client, control(node), results[node]), asio::detached);
             }
         }
@@ -266,8 +266,8 @@
         d->context.run();
         bool all = true;
         for (std::size_t node = 0; node < size(); ++node) {
-            const bool counts = d->slots[node].node && d->slots[node].node->running();
-            done[node] = done[node] || !counts || (results[node] && predicate(*results[node]));
+            const bool running = d->processes[node].node && d->processes[node].node->running();
+            done[node] = done[node] || !running || (results[node] && predicate(*results[node]));
             all = all && done[node];
         }
         if (all) {
@@ -280,18 +280,18 @@
 
 std::size_t Fleet::stop()
 {
-    for (auto &slot : d->slots) {
-        if (slot.node) {
-            slot.node->signal(SIGTERM);
+    for (auto &entry : d->processes) {
+        if (entry.node) {
+            entry.node->signal(SIGTERM);
         }
     }
     std::size_t unclean = 0;
-    for (auto &slot : d->slots) {
-        if (slot.node && slot.node->wait() != 0) {
+    for (auto &entry : d->processes) {
+        if (entry.node && entry.node->wait() != 0) {
             ++unclean;
         }
-        slot.node.reset();
-        slot.target.reset();
+        entry.node.reset();
+        entry.target.reset();
     }
     d->platform.reset();
     return unclean;
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -16,7 +16,7 @@
 namespace Galenahill {
 
 // A call that a target ran, written to its ledger when the call started. The time is from the
-// steady clock that all processes of one machine share.
+// monotonic clock that all processes of one machine share.
 struct LedgerEntry
 {
     std::string call;
@@ -50,7 +50,7 @@
         std::uint8_t network = defaultNetwork();
         std::size_t nodes = 8;
         std::vector<std::string> dataCentres;
-        // Node i serves services[i % services.size()].
+        // Node i serves services[(i / dataCentres.size()) % services.size()].
         std::vector<Service> services;
         // False starts no targets, for runs that make no calls.
         bool targets = true;
@@ -64,7 +64,8 @@
     explicit Fleet(Options options);
     ~Fleet();
 
-    // Starts all processes and waits until each node knows all members.
+    // Starts all processes and waits until each node knows all members and, if targets are started,
+    // is ready.
     Result<void> start();
 
     std::size_t size() const;
@@ -99,8 +100,8 @@
     std::optional<Milliseconds> waitForAll(
         const std::function<bool(const nlohmann::json &)> &predicate, Milliseconds limit, Milliseconds step = Milliseconds(5));
 
-    // Sends SIGTERM to all nodes, waits for them, then kills the targets and the platform. Returns
-    // the number of nodes that didn't exit with code 0.
+    // Sends SIGTERM to all nodes, waits for them, then kills the targets and the platform
+    // stand-in. Returns the number of nodes that didn't exit with code 0.
     std::size_t stop();
 
     static std::uint8_t defaultNetwork();
--- a/bench/platformfleet.cpp
+++ b/bench/platformfleet.cpp
@@ -45,7 +45,7 @@
 
     Options options;
     std::unique_ptr<ChildProcess> store;
-    std::vector<NodeProcesses> slots;
+    std::vector<NodeProcesses> processes;
 
     std::string address(std::size_t node) const
     {
@@ -69,7 +69,7 @@
                        "[fleet]\nrepeat-share = 0.2\nrepeat-slack = 60\n",
         node,
         options.services[node % options.services.size()],
-        !slots[node].startedBefore,
+        !processes[node].startedBefore,
         ip,
         IngressPort,
         SidecarPort,
@@ -85,7 +85,7 @@
     : d(std::make_unique<Private>())
 {
     d->options = std::move(options);
-    d->slots.resize(d->options.nodes);
+    d->processes.resize(d->options.nodes);
     std::filesystem::remove_all(d->options.folder);
     std::filesystem::create_directories(d->options.folder);
 }
@@ -94,7 +94,7 @@
 
 std::size_t PlatformFleet::size() const
 {
-    return d->slots.size();
+    return d->processes.size();
 }
 
 Endpoint PlatformFleet::store() const
@@ -189,14 +189,14 @@
 {
     const auto file = d->path(fmt::format("node-{}.ini", node));
     std::ofstream(file) << d->settings(node, storeForNodes(), targetForNode(node));
-    d->slots[node].startedBefore = true;
-    d->slots[node].node = std::make_unique<ChildProcess>(
+    d->processes[node].startedBefore = true;
+    d->processes[node].node = std::make_unique<ChildProcess>(
         std::vector<std::string>{d->options.programs + "/platform/galenahillnode", "--settings=" + file}, d->path(fmt::format("node-{}.log", node)));
 }
 
 void PlatformFleet::startTarget(std::size_t node)
 {
-    auto &slot = d->slots[node];
+    auto &entry = d->processes[node];
     const std::vector<std::string> command{d->options.programs + "/standins/targetstandin",
         "--address=" + d->address(node),
         fmt::format("--port={}", TargetPort),
@@ -205,11 +205,11 @@
         fmt::format("--announce={}:{}", d->address(node), RegistrationPort),
         "--announce-as=" + toString(targetForNode(node)),
         "--heartbeat=" + d->options.sources + "/platform/heartbeat.sample",
-        fmt::format("--id=t-{}-{}", node, ++slot.targetStarts),
+        fmt::format("--id=t-{}-{}", node, ++entry.targetStarts),
         "--service=" + d->options.services[node % d->options.services.size()],
         "--data-centre=rosario-a",
         "--log-runs"};
-    slot.target = std::make_unique<ChildProcess>(command, d->path(fmt::format("target-{}.log", node)));
+    entry.target = std::make_unique<ChildProcess>(command, d->path(fmt::format("target-{}.log", node)));
 }
 
 ChildProcess &PlatformFleet::storeProcess()
@@ -219,12 +219,12 @@
 
 ChildProcess &PlatformFleet::nodeProcess(std::size_t node)
 {
-    return *d->slots[node].node;
+    return *d->processes[node].node;
 }
 
 ChildProcess &PlatformFleet::targetProcess(std::size_t node)
 {
-    return *d->slots[node].target;
+    return *d->processes[node].target;
 }
 
 std::string PlatformFleet::nodeLog(std::size_t node) const
--- a/bench/processusage.h
+++ b/bench/processusage.h
@@ -13,8 +13,8 @@
     TimePoint at;
 };
 
-// Sums the CPU time of the running nodes, and takes the largest memory of one. Targets and the
-// platform stand-in are not included.
+// Returns the total CPU time of the running nodes and the largest memory of a single one. Targets and
+// the platform stand-in are not included.
 ProcessUsage processUsage(Fleet &fleet);
 
 }
--- a/bench/racingoperators.cpp
+++ b/bench/racingoperators.cpp
@@ -89,7 +89,7 @@
 {
     std::mt19937_64 random(options.seed * options.operators + number);
     for (std::size_t sequence = 1; !stopping; ++sequence) {
-        // All operators wait for the same time, so that their applies conflict.
+        // All operators wait until the same moment, so that their applies conflict.
         const auto passed = (Clock::now() - begin) / options.interval;
         const auto next = begin + (passed + 1) * options.interval;
         while (!stopping && Clock::now() < next) {
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -35,7 +35,7 @@
 constexpr int FaultsPerSecond = 2;
 
 // Upper bound of the random part of a fault's duration. Faults can overlap.
-constexpr int LongestFaultMs = 2500;
+constexpr int MaxRandomFaultMs = 2500;
 
 // Users expect a planned stop to end within its grace period, and a configuration to be in force
 // within two seconds. The test waits longer, since the machine may be busy, and only checks that
@@ -273,7 +273,7 @@
         }
         m_injectedFaults.push_back(fmt::format("{} {}@{}", fault.kind, fault.subject, std::chrono::duration_cast<Milliseconds>(Clock::now() - begin).count()));
         fault.begin();
-        running.push_back({Clock::now() + Milliseconds(100 + m_random() % LongestFaultMs), fault.subject, fault.end});
+        running.push_back({Clock::now() + Milliseconds(100 + m_random() % MaxRandomFaultMs), fault.subject, fault.end});
     }
     endDue(TimePoint::max());
 }
--- a/src/cli/burnplot.cpp
+++ b/src/cli/burnplot.cpp
@@ -15,7 +15,7 @@
 constexpr int BarWidth = 480;
 constexpr int RowHeight = 22;
 
-// Bars are cut off here. A burn rate of 10 uses up a month's error budget in three days.
+// Bars are cut off at this burn rate. A burn rate of 10 uses up a month's error budget in three days.
 constexpr double MaxShownBurn = 10;
 
 std::string escaped(const std::string &text)
--- a/src/cli/calltrace.cpp
+++ b/src/cli/calltrace.cpp
@@ -117,9 +117,9 @@
     const auto earliest = end->time - static_cast<std::int64_t>(end->fields.at("ms").get<double>());
     for (const auto &line : m_lines) {
         const auto shift = line.time < earliest ? earliest - line.time : line.time > latest ? latest - line.time : 0;
-        auto &known = shifts[line.node];
-        if (line.node != end->node && std::abs(shift) > std::max(std::abs(known), ClockToleranceMs)) {
-            known = shift;
+        auto &nodeShift = shifts[line.node];
+        if (line.node != end->node && std::abs(shift) > std::max(std::abs(nodeShift), ClockToleranceMs)) {
+            nodeShift = shift;
         }
     }
     std::erase_if(shifts, [](const auto &entry) { return entry.second == 0; });
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// Most log files that `explain` accepts: as many as a fleet's, and more don't fit on a command line.
+// Maximum number of log files that `explain` accepts: enough for one of each node of a fleet. More
+// would not fit on a command line.
 constexpr std::size_t MaxLogFiles = 10000;
 
 constexpr Milliseconds PollInterval{200};
--- a/src/cli/linediff.cpp
+++ b/src/cli/linediff.cpp
@@ -84,8 +84,8 @@
 {
     const auto begin = line < ContextLines ? 0 : line - ContextLines;
     const auto end = std::min(marked.size(), line + ContextLines + 1);
-    return std::any_of(marked.begin() + static_cast<std::ptrdiff_t>(begin), marked.begin() + static_cast<std::ptrdiff_t>(end), [](const std::string &near) {
-        return near.front() != ' ';
+    return std::any_of(marked.begin() + static_cast<std::ptrdiff_t>(begin), marked.begin() + static_cast<std::ptrdiff_t>(end), [](const std::string &text) {
+        return text.front() != ' ';
     });
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -43,7 +43,7 @@
     return table->longName;
 }
 
-// Copies the text of an option, which popt owns; the fallback if the option was not given.
+// Returns a copy of an option's text, which popt owns, or the fallback if the option was not given.
 std::string valueOr(const char *value, const std::string &fallback)
 {
     return value == nullptr ? fallback : value;
--- a/src/cli/nodeconnection.h
+++ b/src/cli/nodeconnection.h
@@ -15,7 +15,7 @@
     explicit NodeConnection(Endpoint node);
 
     // Calls the method and returns its result. Fails with Unavailable if the node can't be reached, with
-    // OutcomeUnknown if the response was lost, so that a method that changes something may have done so.
+    // OutcomeUnknown if the response was lost: a change that the method makes may have taken effect.
     Result<nlohmann::json> call(const std::string &method, const nlohmann::json &params);
 
 private:
--- a/standins/announcer.cpp
+++ b/standins/announcer.cpp
@@ -25,7 +25,7 @@
     , m_startedAt(unixMilliseconds())
 {
     const auto lines = readSample(m_options.sampleFile, 2);
-    m_firstLine = lines[0];
+    m_requestLine = lines[0];
     m_body = lines[1];
 }
 
@@ -46,7 +46,7 @@
         {"state", m_options.draining() ? "draining" : "ready"},
         {"sequence", std::to_string(++m_sequence)},
     };
-    const auto path = fillPlaceholders(m_firstLine.substr(m_firstLine.find(' ') + 1), values);
+    const auto path = fillPlaceholders(m_requestLine.substr(m_requestLine.find(' ') + 1), values);
     HttpRequest request(http::verb::put, path, 11);
     request.set(http::field::host, toString(m_options.registration));
     request.set(http::field::content_type, "application/json");
--- a/standins/announcer.h
+++ b/standins/announcer.h
@@ -42,7 +42,7 @@
     asio::io_context &m_context;
     Options m_options;
     HttpClient m_client;
-    std::string m_firstLine;
+    std::string m_requestLine;
     std::string m_body;
     std::int64_t m_startedAt;
     std::uint64_t m_sequence = 0;
--- a/standins/platformstandin.cpp
+++ b/standins/platformstandin.cpp
@@ -233,10 +233,10 @@
 int run(const std::string &address, std::uint16_t port)
 {
     asio::io_context context(1);
-    StoreStandIn platform(context);
+    StoreStandIn store(context);
     return serveUntilStopped(context,
         {.endpoint = {address, port},
-            .handler = [&](HttpRequest request, ServerConnection &) { return platform.handle(std::move(request)); },
+            .handler = [&](HttpRequest request, ServerConnection &) { return store.handle(std::move(request)); },
             .limits = {.bodyBytes = 2 * MaxValueBytes}});
 }
 
--- a/standins/targetstandin.cpp
+++ b/standins/targetstandin.cpp
@@ -7,14 +7,14 @@
 // A request for any other path is a call. It takes the service time, and the response contains the
 // request id.
 // With --log-runs, each ledger entry is also written to standard error as "ran ID MICROSECONDS",
-// with the time of the steady clock, so that the ledger outlives the process.
+// with the time of the monotonic clock, so that the ledger outlives the process.
 // A call that finds no free slot counts as an overrun. It waits in the backlog and then runs, even
 // if its caller has disconnected; if the backlog is full, the target rejects the call with 503.
 // "cold_ms" makes the target reject all calls for that time, as during a cold start. "freeze" holds
 // back all responses until it is reset. "misreport" makes /health and /load report ready and idle.
 // With --announce, the target announces itself to the node on its VM and uses the header fields of
-// the platform: it returns the request id, marks its responses as its own, rejects calls that are
-// meant for another target, and marks responses to calls that it did not run.
+// the platform: it returns the request id, adds the origin marker to its responses, rejects calls
+// that are meant for another target, and marks responses to calls that it did not run.
 
 #include "adapters/http/httpserver.h"
 #include "announcer.h"
