--- a/autotests/unit/configmemorytest.cpp
+++ b/autotests/unit/configmemorytest.cpp
@@ -41,10 +41,10 @@
     const auto before = HeapCounter::resetPeak();
     const auto revision = makeRevision(text, Platform::decodeConfiguration);
     BOOST_REQUIRE(revision.has_value());
-    const auto held = HeapCounter::liveBytes - before;
+    const auto live = HeapCounter::liveBytes - before;
     const auto peak = HeapCounter::peakBytes - before;
-    BOOST_TEST_MESSAGE("text " << text.size() << ", held " << held << ", peak " << peak);
-    BOOST_TEST(held < 800'000);
+    BOOST_TEST_MESSAGE("text " << text.size() << ", live " << live << ", peak " << peak);
+    BOOST_TEST(live < 800'000);
     BOOST_TEST(peak < 850'000);
 }
 
@@ -52,12 +52,12 @@
 BOOST_AUTO_TEST_CASE(SplicingAResponseTakesOneMoreCopyOfTheDocument)
 {
     const auto text = document(1);
-    const auto answer = R"({"items":[{"metadata":{"name":"main"},"content":)" + text + R"(}],"more":false})";
+    const auto response = R"({"items":[{"metadata":{"name":"main"},"content":)" + text + R"(}],"more":false})";
     const auto before = HeapCounter::resetPeak();
-    const auto spliced = spliceOut(answer, "content");
+    const auto spliced = spliceOut(response, "content");
     BOOST_REQUIRE(spliced.has_value());
     BOOST_TEST(spliced->parts.front() == text);
     const auto peak = HeapCounter::peakBytes - before;
-    BOOST_TEST_MESSAGE("answer " << answer.size() << ", peak " << peak);
+    BOOST_TEST_MESSAGE("response " << response.size() << ", peak " << peak);
     BOOST_TEST(static_cast<std::size_t>(peak) < text.size() + 10'000);
 }
--- a/autotests/unit/configwatchertest.cpp
+++ b/autotests/unit/configwatchertest.cpp
@@ -43,8 +43,8 @@
     // Runs until the store has got that many calls, however slow the machine.
     void runTo(std::size_t calls)
     {
-        ConfigWatcher follower(options());
-        follower.start();
+        ConfigWatcher watcher(options());
+        watcher.start();
         const auto limit = Clock::now() + std::chrono::seconds(30);
         while (store.calledWith.size() < calls && Clock::now() < limit) {
             context.run_for(Milliseconds(10));
@@ -78,7 +78,7 @@
 }
 
 // One response of the watch contains several changes, of which only the last counts.
-BOOST_AUTO_TEST_CASE(TakesTheLastOfSeveralChanges)
+BOOST_AUTO_TEST_CASE(AdoptsTheLastOfSeveralChanges)
 {
     DocumentSet changes{{{"main", "2", false}, {"other", "9", false}, {"main", "3", false}}, ObjectVersion(12)};
     store.responses = {set(10, "1"), changes};
@@ -87,7 +87,7 @@
     BOOST_TEST(store.calledWith.back() == "watch config 12");
 }
 
-// A document does not decode. It is rejected as a whole and logged, and the next valid
+// A document cannot be decoded. It is rejected as a whole and logged, and the next valid
 // document is adopted.
 BOOST_AUTO_TEST_CASE(RejectsAnInvalidDocument)
 {
@@ -103,8 +103,8 @@
 {
     watches = false;
     store.responses = {set(10, "1"), set(11, "2")};
-    ConfigWatcher follower(options());
-    follower.start();
+    ConfigWatcher watcher(options());
+    watcher.start();
     context.run_for(Milliseconds(600));
     BOOST_TEST(store.calledWith.size() == 1U);
     BOOST_TEST((found == std::vector<std::uint64_t>{1}));
@@ -118,8 +118,8 @@
 {
     watches = false;
     store.responses = {set(10, "1"), set(11, "2")};
-    ConfigWatcher follower(options());
-    follower.start();
+    ConfigWatcher watcher(options());
+    watcher.start();
     context.run_for(Milliseconds(50));
     watches = true;
     const auto limit = Clock::now() + std::chrono::seconds(30);
--- a/autotests/unit/expectcontinuetest.cpp
+++ b/autotests/unit/expectcontinuetest.cpp
@@ -10,7 +10,7 @@
 const Endpoint ServerEndpoint{testAddress(10), 18100};
 const std::string Body(60000, 'b');
 
-// A server whose handler reads offered bodies completely, in part or not at all, and counts the bytes.
+// A server whose handler reads request bodies completely, in part or not at all, and counts the bytes.
 struct Fixture
 {
     std::atomic<bool> acceptsBodies = false;
@@ -53,7 +53,7 @@
         m_thread.join();
     }
 
-    Result<HttpResponse> offer(const std::string &body)
+    Result<HttpResponse> upload(const std::string &body)
     {
         std::promise<Result<HttpResponse>> promise;
         asio::co_spawn(
@@ -91,21 +91,21 @@
 }
 
 // A target without free slots rejects uploads of 60 KB. A body sent with its header would occupy the
-// target's link of 7 Mbit/s for 70 ms in vain. A rejected offer costs a few hundred bytes, and the
+// target's link of 7 Mbit/s for 70 ms in vain. A rejected header costs a few hundred bytes, and the
 // connection is reused.
 BOOST_FIXTURE_TEST_CASE(DoesNotSendARejectedBody, Fixture)
 {
     RunningServer server(options);
     Caller caller;
     for (int i = 0; i < 5; ++i) {
-        const auto response = caller.offer(Body);
+        const auto response = caller.upload(Body);
         BOOST_REQUIRE(response.has_value());
         BOOST_TEST(response->result_int() == 503U);
     }
     BOOST_TEST(caller.bytes() < 5000U);
     BOOST_TEST(caller.connections() == 1U);
     acceptsBodies = true;
-    const auto response = caller.offer(Body);
+    const auto response = caller.upload(Body);
     BOOST_REQUIRE(response.has_value());
     BOOST_TEST(response->body() == std::to_string(Body.size()));
     BOOST_TEST(caller.connections() == 1U);
@@ -117,7 +117,7 @@
     RunningServer server(options);
     Caller caller;
     acceptsBodies = true;
-    const auto response = caller.offer("small");
+    const auto response = caller.upload("small");
     BOOST_REQUIRE(response.has_value());
     BOOST_TEST(response->body() == "5");
 }
@@ -130,10 +130,10 @@
     Caller caller;
     acceptsBodies = true;
     stopsHalfway = true;
-    const auto earlyResponse = caller.offer(Body);
+    const auto earlyResponse = caller.upload(Body);
     BOOST_TEST((!earlyResponse || earlyResponse->keep_alive() == false));
     stopsHalfway = false;
-    const auto response = caller.offer(Body);
+    const auto response = caller.upload(Body);
     BOOST_REQUIRE(response.has_value());
     BOOST_TEST(response->body() == std::to_string(Body.size()));
 }
@@ -141,7 +141,7 @@
 // The sidecar's process dies between the header of an upload and its response. If the client went on
 // reading, it would wait for its deadline or take an empty header for status 200, and the caller would
 // assume that its upload was stored. The client must report an unknown outcome immediately.
-BOOST_AUTO_TEST_CASE(FailsIfTheOfferGetsNoResponse)
+BOOST_AUTO_TEST_CASE(FailsIfTheServerClosesWithoutAFinalResponse)
 {
     for (const std::string part : {"", "HTT", "HTTP/1.1 100 Continue\r\n", "HTTP/1.1 100 Continue\r\n\r\n"}) {
         asio::io_context context;
@@ -155,7 +155,7 @@
         });
         Caller caller;
         const auto begin = Clock::now();
-        const auto response = caller.offer(Body);
+        const auto response = caller.upload(Body);
         server.join();
         BOOST_TEST((Clock::now() < begin + TestTimeout / 2));
         BOOST_TEST(!response.has_value(), "after \"" << part << "\"");
--- a/autotests/unit/headwatchertest.cpp
+++ b/autotests/unit/headwatchertest.cpp
@@ -15,7 +15,7 @@
     FakeObjectStore store;
     std::shared_ptr<NodeState> state = std::make_shared<NodeState>();
     std::vector<Revision> found;
-    std::optional<Revision> answered;
+    std::optional<Revision> reportedHead;
     std::size_t failures = 0;
     BudgetedStore budgeted{{.store = store, .budget = {}, .stopping = state->stopping}};
     ConfigRepository repository{{.store = budgeted,
@@ -31,7 +31,7 @@
                 found.push_back(revision->revision());
                 state->revisions.offer(revision);
             },
-        .storeAnswered = [this](Revision revision) { answered = revision; },
+        .storeAnswered = [this](Revision revision) { reportedHead = revision; },
         .storeFailed = [this] { ++failures; }}};
 
     void apply()
@@ -43,7 +43,7 @@
 }
 
 // The watch stalls: it neither returns nor fails. The node would serve the old revision
-// until the watch's time limit, longer than operators are promised; the check beside
+// until the watch's time limit, longer than guaranteed to operators; the check beside
 // the watch finds the new revision.
 BOOST_FIXTURE_TEST_CASE(CheckFindsARevisionThatAStalledWatchMisses, Fixture)
 {
@@ -128,6 +128,6 @@
     state->stopping = true;
     running.join();
     BOOST_TEST(failures == 2U);
-    BOOST_TEST(answered.value_or(Revision()).value() == 1U);
+    BOOST_TEST(reportedHead.value_or(Revision()).value() == 1U);
     BOOST_TEST(state->revisions.revision().value() == 1U);
 }
--- a/autotests/unit/httpclienttest.cpp
+++ b/autotests/unit/httpclienttest.cpp
@@ -146,7 +146,7 @@
 
 // The server closes an idle connection, or sends unsolicited bytes on it. The next request must use a
 // new connection: on the first, its outcome would be unknown without need; on the second, it would
-// receive a response that isn't its own.
+// receive the response to another request.
 BOOST_FIXTURE_TEST_CASE(DoesNotReuseABrokenIdleConnection, Fixture)
 {
     std::promise<void> broken[2];
@@ -201,8 +201,8 @@
     BOOST_TEST(client->openConnections(ServerEndpoint) == 1U);
 }
 
-// The caller cancels while the response is awaited. The connection is closed, which tells the server
-// that the call is cancelled.
+// The caller cancels while the response is awaited. The connection is closed, which signals the
+// cancellation to the server.
 BOOST_FIXTURE_TEST_CASE(ClosesTheConnectionWhenCancelled, Fixture)
 {
     ScriptedServer *self = nullptr;
--- a/autotests/unit/idleconnectiontest.cpp
+++ b/autotests/unit/idleconnectiontest.cpp
@@ -33,19 +33,19 @@
                                 }});
     BOOST_REQUIRE(server.listen().has_value());
     HttpClient client(context, {.maxIdlePerEndpoint = Connections});
-    int answered = 0;
+    int completed = 0;
     const auto call = [&]() -> asio::awaitable<void> {
         HttpRequest request(http::verb::get, "/", 11);
         request.set(http::field::host, toString(ServerEndpoint));
         const auto result = co_await client.exchange(ServerEndpoint, std::move(request), Clock::now() + std::chrono::seconds(20));
-        answered += result && result->body() == "done" ? 1 : 0;
+        completed += result && result->body() == "done" ? 1 : 0;
     };
     const auto before = HeapCounter::liveBytes.load();
     for (int i = 0; i < Connections; ++i) {
         asio::co_spawn(context, call(), asio::detached);
     }
     context.run_for(Milliseconds(2500));
-    BOOST_TEST(answered == Connections);
+    BOOST_TEST(completed == Connections);
     BOOST_REQUIRE(client.openConnections(ServerEndpoint) == static_cast<std::size_t>(Connections));
     client.trimIdle();
     const auto perConnection = (HeapCounter::liveBytes - before) / Connections;
@@ -54,6 +54,6 @@
     // The connections can still be used.
     asio::co_spawn(context, call(), asio::detached);
     context.run_for(Milliseconds(600));
-    BOOST_TEST(answered == Connections + 1);
+    BOOST_TEST(completed == Connections + 1);
     BOOST_TEST(client.openConnections(ServerEndpoint) == static_cast<std::size_t>(Connections));
 }
--- a/autotests/unit/memberdirectorytest.cpp
+++ b/autotests/unit/memberdirectorytest.cpp
@@ -43,11 +43,11 @@
             .storedMembersReceived =
                 [this](const std::vector<MemberRecord> &members) {
                     for (const auto &member : members) {
-                        others.push_back(member.control());
+                        peers.push_back(member.control());
                     }
                 },
             .membersReceived = [](const std::vector<MemberRecord> &) {},
-            .peerAddresses = [this] { return others; },
+            .peerAddresses = [this] { return peers; },
             .isKnown = [](const NodeName &member) { return member == NodeName("a"); },
             .shouldSweep = [this] { return sweeps; },
             .sweepInterval = Milliseconds(50),
@@ -58,18 +58,18 @@
             context.run_for(Milliseconds(10));
         }
         context.run_for(afterwards);
-        consulted = directory.initialLookupDone();
+        lookupDone = directory.initialLookupDone();
         stopping = true;
     }
 
     asio::io_context context{1};
     HttpClient client{context, {}};
     ScriptedStore store{context};
-    std::vector<Endpoint> others;
+    std::vector<Endpoint> peers;
     std::vector<std::string> events;
     bool stopping = false;
     bool sweeps = false;
-    bool consulted = false;
+    bool lookupDone = false;
     bool firstStart = true;
 };
 
@@ -85,7 +85,7 @@
     run(2, Milliseconds(1000));
     const std::vector<std::string> expected = {"put contacts b", "list contacts"};
     BOOST_TEST(store.calledWith == expected, boost::test_tools::per_element());
-    BOOST_TEST(consulted);
+    BOOST_TEST(lookupDone);
 }
 
 // The write fails though the list succeeds. A node that starts at the same moment may
@@ -93,7 +93,7 @@
 // contacts listed once more after it.
 BOOST_AUTO_TEST_CASE(ListsAgainAfterALateWrite)
 {
-    store.putResponse = failure(ErrorKind::Unavailable, "the store is out");
+    store.putResponse = failure(ErrorKind::Unavailable, "the store is unavailable");
     store.responses = {contactsOf({"a"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     asio::steady_timer timer(context, Milliseconds(100));
     timer.async_wait([this](const ErrorCode &) { store.putResponse = Result<void>(); });
@@ -109,7 +109,7 @@
     store.responses = {contactsOf({"b"}), contactsOf({"a", "b"}), contactsOf({"a", "b"})};
     run(3, Milliseconds(50));
     BOOST_TEST(std::count(store.calledWith.begin(), store.calledWith.end(), "list contacts") == 2);
-    BOOST_TEST(others.size() == 1U);
+    BOOST_TEST(peers.size() == 1U);
 }
 
 // A VM was lost for good, and no member remembers it. Its contact is removed, provided
--- a/autotests/unit/platformnodetest.cpp
+++ b/autotests/unit/platformnodetest.cpp
@@ -33,7 +33,7 @@
 
 struct Fixture
 {
-    explicit Fixture(std::deque<Result<DocumentSet>> answers)
+    explicit Fixture(std::deque<Result<DocumentSet>> responses)
         : node(context,
             {.settings = settings(),
                 .headerNames = Platform::callHeaderNames(),
@@ -44,7 +44,7 @@
                 .openStore =
                     [&](HttpClient &) {
                         auto store = std::make_unique<ScriptedStore>(context);
-                        store->responses = std::move(answers);
+                        store->responses = std::move(responses);
                         return store;
                     },
                 .log = [](LogLevel, std::string_view, const std::vector<LogField> &) {}})
@@ -74,8 +74,8 @@
 }
 
 // All nodes start before the operator has written the first configuration: the store
-// responds that it has none. A node that took this for an empty configuration would tell
-// callers that their routes do not exist, and one that crashed over it would be missing
+// responds that it has none. A node that took this for an empty configuration would
+// report to callers that their routes do not exist, and one that crashed would be missing
 // when the first configuration comes. The node must report that it is not ready and
 // reject calls as not run.
 BOOST_AUTO_TEST_CASE(WaitsForTheFirstConfiguration)
--- a/autotests/unit/platformtest.cpp
+++ b/autotests/unit/platformtest.cpp
@@ -104,12 +104,12 @@
     for (const auto *field : {"version", "services", "virtual-hosts"}) {
         BOOST_TEST(!Platform::decodeConfiguration(without(document, Json::json_pointer(), field)).has_value(), field);
     }
-    auto odd = document;
-    odd[route]["type"] = "maybe";
-    BOOST_TEST(!Platform::decodeConfiguration(odd.dump()).has_value());
-    odd = document;
-    odd["version"] = "7";
-    BOOST_TEST(!Platform::decodeConfiguration(odd.dump()).has_value());
+    auto invalid = document;
+    invalid[route]["type"] = "maybe";
+    BOOST_TEST(!Platform::decodeConfiguration(invalid.dump()).has_value());
+    invalid = document;
+    invalid["version"] = "7";
+    BOOST_TEST(!Platform::decodeConfiguration(invalid.dump()).has_value());
     const std::string text(Document);
     BOOST_TEST(!Platform::decodeConfiguration(text.substr(0, text.size() / 2)).has_value());
 }
@@ -134,10 +134,10 @@
     auto document = Json::parse(Document);
     auto &route = document[Json::json_pointer("/virtual-hosts/0/paths/0")];
     route["type"] = "maybe";
-    const auto refused = Platform::decodeConfiguration(document.dump());
-    BOOST_REQUIRE(!refused.has_value());
-    BOOST_TEST(refused.error().message.find("route " + route["name"].get<std::string>()) != std::string::npos);
-    BOOST_TEST(refused.error().message.find("\"maybe\" is none of safe, unsafe and upload") != std::string::npos);
+    const auto rejected = Platform::decodeConfiguration(document.dump());
+    BOOST_REQUIRE(!rejected.has_value());
+    BOOST_TEST(rejected.error().message.find("route " + route["name"].get<std::string>()) != std::string::npos);
+    BOOST_TEST(rejected.error().message.find("\"maybe\" is none of safe, unsafe and upload") != std::string::npos);
 }
 
 // A route names a service that is not in the document.
@@ -168,21 +168,21 @@
 // state. It identifies no target and must not change whether the target gets calls.
 BOOST_AUTO_TEST_CASE(RejectsAHeartbeatWithAnInvalidField)
 {
-    const auto whole = Json::parse(Heartbeat);
+    const auto heartbeat = Json::parse(Heartbeat);
     for (const auto &where : {Json::json_pointer(), Json::json_pointer("/info"), Json::json_pointer("/status")}) {
-        for (const auto &[field, value] : whole[where].items()) {
-            BOOST_TEST(!Platform::decodeTargetMessage(put(without(whole, where, field))).has_value(), field);
-            auto mistyped = whole;
+        for (const auto &[field, value] : heartbeat[where].items()) {
+            BOOST_TEST(!Platform::decodeTargetMessage(put(without(heartbeat, where, field))).has_value(), field);
+            auto mistyped = heartbeat;
             mistyped[where][field] = Json::array({1});
             BOOST_TEST(!Platform::decodeTargetMessage(put(mistyped.dump())).has_value(), field);
         }
     }
-    auto odd = whole;
-    odd["status"]["state"] = "odd";
-    BOOST_TEST(!Platform::decodeTargetMessage(put(odd.dump())).has_value());
-    odd = whole;
-    odd["born"] = 1777078383118.5;
-    BOOST_TEST(!Platform::decodeTargetMessage(put(odd.dump())).has_value());
+    auto invalid = heartbeat;
+    invalid["status"]["state"] = "odd";
+    BOOST_TEST(!Platform::decodeTargetMessage(put(invalid.dump())).has_value());
+    invalid = heartbeat;
+    invalid["born"] = 1777078383118.5;
+    BOOST_TEST(!Platform::decodeTargetMessage(put(invalid.dump())).has_value());
     BOOST_TEST(!Platform::decodeTargetMessage(put(Heartbeat, "/instances/")).has_value());
     BOOST_TEST(!Platform::decodeTargetMessage(put(Heartbeat, "/other/i-1")).has_value());
 }
@@ -271,19 +271,19 @@
 // A missing or mistyped setting prevents the start with an error that names it.
 BOOST_AUTO_TEST_CASE(SettingsNameWhatIsWrong)
 {
-    const std::string whole = "[node]\nname = n\ndata-centre = z\nservice = a\nfirst-start = true\nstop-timeout-s = 6\n"
-                              "[listen]\ningress = 10.1.0.8:1\nsidecar = 10.1.0.8:2\nregistration = 10.1.0.8:3\nreadiness = 10.1.0.8:4\npeers = 10.1.0.8:5\n"
-                              "[target]\naddress = 10.1.0.8:6\nheartbeat-interval-s = 0.87\n[store]\naddress = 10.200.1.7:8309\n"
-                              "[fleet]\nseeds =\nrepeat-share = 0.2\nrepeat-slack = 60\n";
-    const auto settings = PlatformNodeSettings::parse("node.ini", whole);
+    const std::string complete = "[node]\nname = n\ndata-centre = z\nservice = a\nfirst-start = true\nstop-timeout-s = 6\n"
+                                 "[listen]\ningress = 10.1.0.8:1\nsidecar = 10.1.0.8:2\nregistration = 10.1.0.8:3\nreadiness = 10.1.0.8:4\npeers = 10.1.0.8:5\n"
+                                 "[target]\naddress = 10.1.0.8:6\nheartbeat-interval-s = 0.87\n[store]\naddress = 10.200.1.7:8309\n"
+                                 "[fleet]\nseeds =\nrepeat-share = 0.2\nrepeat-slack = 60\n";
+    const auto settings = PlatformNodeSettings::parse("node.ini", complete);
     BOOST_REQUIRE_MESSAGE(settings.has_value(), settings.error().message);
     BOOST_TEST(settings->heartbeatInterval.count() == 870);
     BOOST_TEST(settings->seeds.empty());
-    auto broken = whole;
+    auto broken = complete;
     broken.replace(broken.find("10.1.0.8:6"), 10, "10.1.0.8");
     broken.erase(broken.find("sidecar = 10.1.0.8:2\n"), 21);
-    const auto refused = PlatformNodeSettings::parse("node.ini", broken);
-    BOOST_REQUIRE(!refused.has_value());
-    BOOST_TEST(refused.error().message.find("[target] address") != std::string::npos);
-    BOOST_TEST(refused.error().message.find("[listen] sidecar: missing") != std::string::npos);
+    const auto rejected = PlatformNodeSettings::parse("node.ini", broken);
+    BOOST_REQUIRE(!rejected.has_value());
+    BOOST_TEST(rejected.error().message.find("[target] address") != std::string::npos);
+    BOOST_TEST(rejected.error().message.find("[listen] sidecar: missing") != std::string::npos);
 }
--- a/src/adapters/http/clientexchange.cpp
+++ b/src/adapters/http/clientexchange.cpp
@@ -125,7 +125,7 @@
     m_isHead = request.method() == http::verb::head;
     const auto sendError = co_await send(request, exchangeOptions);
     // A connection that broke while 100 Continue was awaited carries no response. If reading
-    // continued, the empty header would pass for a success at the end of the connection.
+    // continued, the empty header would be taken for a success at the end of the connection.
     if (sendError && !m_sendsBody) {
         co_return exchangeFailure("no response", sendError);
     }
@@ -187,7 +187,7 @@
     co_return error;
 }
 
-// Sends the header, and waits for 100 Continue if the server is to be asked first. After a final
+// Sends the header, and waits for 100 Continue if `expectContinue` is set. After a final
 // response, such as a rejection, the body isn't sent.
 asio::awaitable<ErrorCode> ClientExchange::sendHeader(HttpRequest &request, const HttpClient::ExchangeOptions &exchangeOptions, bool expectContinue)
 {
--- a/src/adapters/http/connectionpool.cpp
+++ b/src/adapters/http/connectionpool.cpp
@@ -10,8 +10,8 @@
 constexpr Milliseconds SweepStep{5};
 
 // Fraction of the server's keep-alive time during which an idle connection is reused. A request
-// that meets the server's close on its way is lost, and fails if it can't be retried. The rest of
-// the time is longer than any round trip.
+// sent while the server closes the connection is lost, and fails if it can't be retried. The rest
+// of the time is longer than any round trip.
 constexpr double KeepAliveFraction = 0.8;
 
 // An idle connection keeps its buffer for this time, since it may be reused soon.
--- a/src/adapters/http/connectionpool.h
+++ b/src/adapters/http/connectionpool.h
@@ -42,7 +42,7 @@
     struct Options
     {
         std::size_t maxIdlePerEndpoint = 32;
-        // Most connections to one endpoint, idle and in use.
+        // Maximum number of connections to one endpoint, idle and in use.
         std::size_t maxPerEndpoint = 512;
         Milliseconds maxIdleAge{20000};
         Milliseconds connectTimeout{60000};
--- a/src/adapters/http/httpclient.h
+++ b/src/adapters/http/httpclient.h
@@ -23,7 +23,7 @@
     struct Options
     {
         std::size_t maxIdlePerEndpoint = 32;
-        // Most connections to one endpoint, idle and in use.
+        // Maximum number of connections to one endpoint, idle and in use.
         std::size_t maxPerEndpoint = 512;
         // Connections that have been idle for longer are closed rather than used, since the
         // server may be about to close them.
--- a/src/adapters/http/httpserverconnection.cpp
+++ b/src/adapters/http/httpserverconnection.cpp
@@ -17,9 +17,9 @@
 // time.
 constexpr Milliseconds PeerCheckInterval{100};
 
-// Most pipelined requests of one connection, and most requests on all connections of the server
-// that are handled before an earlier one is answered. Each may keep a response of 64 KB in
-// memory until its turn.
+// Limits for the pipelined requests of one connection, and for the requests on all connections
+// of the server that are handled before an earlier one is answered. Each may keep a response of
+// 64 KB in memory until its turn.
 constexpr std::size_t MaxPipelined = 16;
 constexpr std::size_t MaxRunningAhead = 256;
 
--- a/src/adapters/platform/documentobjectstore.cpp
+++ b/src/adapters/platform/documentobjectstore.cpp
@@ -110,8 +110,8 @@
         return objectOf(*document);
     }
     // A read changes nothing, so a lost response leaves no unknown outcome.
-    const bool lost = document.error().kind == ErrorKind::OutcomeUnknown;
-    return failure(lost ? ErrorKind::Unavailable : document.error().kind, document.error().message);
+    const bool responseLost = document.error().kind == ErrorKind::OutcomeUnknown;
+    return failure(responseLost ? ErrorKind::Unavailable : document.error().kind, document.error().message);
 }
 
 Result<ObjectVersion> DocumentObjectStore::write(const std::string &key, const std::string &value, ObjectVersion expected)
--- a/src/daemon/configwatcher.h
+++ b/src/daemon/configwatcher.h
@@ -18,7 +18,7 @@
 
 using ConfigDecoder = std::function<Result<DecodedConfig>(const std::string &content)>;
 
-// Builds a revision from a document's text. A document that does not decode, or
+// Builds a revision from a document's text. A document that cannot be decoded, or
 // whose parts are inconsistent, is rejected as a whole.
 Result<std::shared_ptr<const ConfigRevision>> makeRevision(std::string content, const ConfigDecoder &decode);
 
@@ -39,7 +39,7 @@
         Logger log;
         // Called with each valid revision read from the store.
         std::function<void(std::shared_ptr<const ConfigRevision>)> revisionFound;
-        // The store answered; the revision is zero if it has no configuration yet.
+        // The store responded; the revision is zero if it has no configuration yet.
         std::function<void(Revision)> storeAnswered;
         std::function<void()> storeFailed;
         // Whether this node is a watcher.
--- a/src/daemon/contactmaintainer.cpp
+++ b/src/daemon/contactmaintainer.cpp
@@ -40,7 +40,7 @@
     return json.dump();
 }
 
-// Skips entries that do not decode, since contacts are only hints.
+// Skips invalid entries, since contacts are only hints.
 std::vector<Endpoint> contactsFromJson(const std::string &text)
 {
     std::vector<Endpoint> contacts;
@@ -272,7 +272,8 @@
         const auto time = d->options.store.backOff();
         d->options.log(LogLevel::Warning,
             "join-failed",
-            {{"reason", "no contact answered, or another node changed the contact list meanwhile; retrying after the back-off"}, {"backoff_ms", time.count()}});
+            {{"reason", "no contact responded, or another node changed the contact list meanwhile; retrying after the back-off"},
+                {"backoff_ms", time.count()}});
     }
     d->options.store.succeeded();
     d->nextContactUpdate = Clock::now() + FirstContactsDelay;
--- a/src/daemon/contactmaintainer.h
+++ b/src/daemon/contactmaintainer.h
@@ -10,8 +10,8 @@
 
 namespace Galenahill {
 
-// Joins the fleet through the contacts in the store and, while the node holds that
-// role, maintains the contact list of its data centre. Runs on a thread of its own,
+// Joins the fleet through the contacts in the store and, while the node has the role
+// for it, maintains the contact list of its data centre. Runs on a thread of its own,
 // so that a slow watch and unresponsive contacts do not delay each other.
 class ContactMaintainer
 {
@@ -26,7 +26,7 @@
         Logger log;
         std::uint64_t seed = 1;
         // Fetches a contact's member list and merges it into the membership;
-        // false if the contact did not answer.
+        // false if the contact did not respond.
         std::function<bool(const Endpoint &contact)> joinThrough;
         // Reads the store's head beside the watch; called periodically.
         std::function<void()> checkHead;
--- a/src/daemon/controlactor.cpp
+++ b/src/daemon/controlactor.cpp
@@ -19,7 +19,7 @@
         [=](const MembersReceived &received) { fleet->membersReceived(received.members); },
         [=](const RevisionReceived &received) { fleet->revisionReceived(received.revision); },
         [=](const PullEnded &ended) { fleet->pullEnded(ended.peer); },
-        [=](const StoreAnswered &answer) { fleet->storeAnswered(answer.revision); },
+        [=](const StoreAnswered &response) { fleet->storeAnswered(response.revision); },
         [=](const StoreFailed &) { fleet->storeFailed(); },
         [=](const LeaveFleet &) { fleet->leave(); },
     };
--- a/src/daemon/documentwatcher.cpp
+++ b/src/daemon/documentwatcher.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Longest wait of one watch. The store counts each call and allows waits of up to half
-// a minute; keep-alive probes detect a silent connection long before.
+// Maximum wait of one watch. The store counts each call and allows waits of up to half
+// a minute; keep-alive probes detect a dead connection long before.
 constexpr Milliseconds WatchTimeLimit{30000};
 
 // Pause between a change and the next watch: a quarter of the two seconds within which
@@ -25,7 +25,7 @@
 constexpr Milliseconds RoleCheckInterval{150};
 
 // Back-off after a failed call, doubled by each further failure. The end of an outage is
-// noticed within the longest back-off, and a fleet of 1,100 nodes stays far below the
+// noticed within the maximum back-off, and a fleet of 1,100 nodes stays far below the
 // store's read rate limit.
 constexpr Milliseconds MinBackOff{100};
 constexpr Milliseconds MaxBackOff{800};
@@ -47,7 +47,7 @@
     std::optional<Freshness> firstList;
     // Version from which the watch resumes; zero while the kind has to be listed.
     ObjectVersion version;
-    // Whether this node was a watcher in the last round, and when the store last answered.
+    // Whether this node was a watcher in the last round, and when the store last responded.
     bool wasWatcher = false;
     TimePoint lastSuccess;
     std::uint32_t failures = 0;
@@ -141,8 +141,8 @@
 Milliseconds DocumentWatcher::Private::backOffTime()
 {
     const auto doubled = MinBackOff * (1 << std::min<std::uint32_t>(failures, 4));
-    const auto longest = std::min(MaxBackOff, Milliseconds(doubled));
-    return Milliseconds(std::uniform_int_distribution<std::int64_t>(longest.count() / 2, longest.count())(random));
+    const auto upperBound = std::min(MaxBackOff, Milliseconds(doubled));
+    return Milliseconds(std::uniform_int_distribution<std::int64_t>(upperBound.count() / 2, upperBound.count())(random));
 }
 
 }
--- a/src/daemon/fleetcontrol.cpp
+++ b/src/daemon/fleetcontrol.cpp
@@ -27,7 +27,7 @@
     Membership membership;
     RevisionPuller puller;
     ReadinessGate gate;
-    bool open = false;
+    bool ready = false;
     bool viewOutdated = true;
     bool watchesAsFallback = false;
     bool storeFailed = false;
@@ -106,7 +106,7 @@
 }
 
 // Whether this node is about to read a newer revision from the store: as a watcher, or
-// because it has just started. Otherwise every node of a fleet that starts as a whole
+// because it has just started. Otherwise every node of a fleet that starts at once
 // would also pull the configuration from a member, often in another data centre.
 bool FleetControl::Private::readsStore() const
 {
@@ -121,15 +121,16 @@
     options.state->setMembers(live);
     options.state->watchesStore = watchesAsFallback || WatcherSelection{.maxPerDataCentre = options.watchers}.selects(membership.self(), live);
     options.state->maintainsContacts = holdsRole("contacts", 1, membership.self(), live);
-    open = gate.checkReady(options.state->revisions.revision(), live.size() - 1);
-    if (open) {
+    ready = gate.checkReady(options.state->revisions.revision(), live.size() - 1);
+    if (ready) {
         options.publishView(RoutingView::build(options.state->revisions.current(), membership.records(), versionRules));
     }
 }
 
 // All watchers may fail at once, as when a rack loses power, and the remaining members
 // would learn of no change until they had declared the watchers gone. A node whose
-// probes stay unanswered therefore watches the store itself until it hears from a member.
+// probes stay unanswered therefore watches the store itself until it receives a message
+// from a member.
 void FleetControl::Private::updateFallbackWatch()
 {
     if (membership.lastProbeUnanswered() != watchesAsFallback) {
@@ -145,7 +146,7 @@
     updateFallbackWatch();
     // A node that is not ready checks again at each tick: what makes it ready may change
     // without the view becoming outdated.
-    if (viewOutdated || !open) {
+    if (viewOutdated || !ready) {
         publish();
     }
 }
@@ -216,7 +217,7 @@
 
 bool FleetControl::isReady() const
 {
-    return d->open;
+    return d->ready;
 }
 
 std::vector<Endpoint> FleetControl::peerAddresses() const
--- a/src/daemon/fleetcontrol.h
+++ b/src/daemon/fleetcontrol.h
@@ -22,7 +22,7 @@
     std::shared_ptr<NodeState> state;
     Logger log;
     GossipPreference prefer = GossipPreference::Time;
-    // Members that each round of gossip goes to; zero: as `prefer` implies.
+    // Members that each round of gossip is sent to; zero: chosen by `prefer`.
     std::uint32_t fanOut = 0;
     // Members of each data centre that watch the store.
     std::uint32_t watchers = 2;
@@ -34,8 +34,8 @@
     // Starts to pull the peer's revision. `revisionReceived` must be called if the pull
     // succeeds, and `pullEnded` in any case.
     std::function<void(const Endpoint &peer)> pull;
-    // Time that a watcher gives its own watch of the store before it pulls a newer
-    // revision from a member.
+    // Time that a watcher waits for its watch of the store to return a newer revision
+    // before it pulls that from a member.
     Milliseconds watchGracePeriod{0};
     // Time between two probes of members that were declared gone.
     Milliseconds reconnectInterval{5000};
@@ -75,8 +75,8 @@
     // Announces to the other members that this node leaves.
     void leave();
 
-    // Whether the node may accept calls: it has the highest revision that it can learn
-    // of in force.
+    // Whether the node may accept calls: the highest revision that it can learn of is in
+    // force.
     bool isReady() const;
 
     // Number and control addresses of the other live members.
--- a/src/daemon/memberdirectory.cpp
+++ b/src/daemon/memberdirectory.cpp
@@ -14,10 +14,10 @@
 
 constexpr const char *Kind = "contacts";
 
-// Contacts queried for their members: some may be gone or as new as this node.
+// Contacts queried for their members; some may be gone, or just starting like this node.
 constexpr std::size_t ContactsQueried = 3;
 
-// Of them, those in other data centres if the local one has listed contacts.
+// How many of them are in other data centres if the local one has enough contacts.
 constexpr std::size_t RemoteContactsQueried = 1;
 
 constexpr Milliseconds QueryTimeout{700};
@@ -173,8 +173,8 @@
     }
     for (const auto &document : documents->documents) {
         const auto record = contactFromDocument(document.content);
-        const bool own = record && record->dataCentre == options.self.dataCentre;
-        if (!own || record->name == options.self.name || options.isKnown(record->name)) {
+        const bool isLocal = record && record->dataCentre == options.self.dataCentre;
+        if (!isLocal || record->name == options.self.name || options.isKnown(record->name)) {
             continue;
         }
         // A contact that has just been rewritten has another version and stays.
@@ -185,7 +185,7 @@
 
 // Of two nodes that start together, the one that writes later finds the other in the
 // list, since each writes before it reads. One such read is enough. A restarted node
-// reads first: its contact is usually still there, and a fleet that restarts as a whole
+// reads first: its contact is usually still listed, and a fleet that restarts at once
 // would otherwise write one contact per node.
 asio::awaitable<void> MemberDirectory::Private::join()
 {
--- a/src/daemon/node.cpp
+++ b/src/daemon/node.cpp
@@ -113,7 +113,7 @@
                   .received =
                       [this](const Endpoint &from, std::string bytes) {
                           if (!links || links->passes(from.address)) {
-                              tell(DatagramReceived{from, std::move(bytes)});
+                              sendToControl(DatagramReceived{from, std::move(bytes)});
                           }
                       },
                   .dropPercent = settings.dropPercent})
@@ -123,7 +123,7 @@
               .exchange = exchange,
               .counters = [this] { return counters(); },
               .metrics = metrics,
-              .revisionAccepted = [this](auto revision) { tell(RevisionReceived{std::move(revision)}); }})
+              .revisionAccepted = [this](auto revision) { sendToControl(RevisionReceived{std::move(revision)}); }})
         , controlServer(controlContext,
               {.endpoint = self.control(), .handler = [this](HttpRequest request, ServerConnection &) { return handleControl(std::move(request)); }})
         , dataClient(dataContext, clientOptions(MaxCallBodyBytes))
@@ -132,8 +132,9 @@
               .dataCentre = settings.dataCentre,
               .seed = self.incarnation,
               .policy = options.calls,
-              .callEnded
-              = [this](const RouteDefinition &route, CallResult end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); }})
+              .callEnded = [this](const RouteDefinition &route,
+                               CallResult result,
+                               std::chrono::microseconds latency) { metrics.record(route, result, latency, Clock::now()); }})
         , sidecar({.context = dataContext,
               .client = dataClient,
               .service = settings.service,
@@ -141,7 +142,7 @@
               .healthPath = settings.healthPath,
               .log = log,
               .policy = options.calls,
-              .stateChanged = [this](MemberState newState) { tell(TargetStateChanged{newState}); }})
+              .stateChanged = [this](MemberState newState) { sendToControl(TargetStateChanged{newState}); }})
         , ingressServer(dataContext,
               {.endpoint = {settings.address, settings.ingressPort},
                   .handler = [this](HttpRequest request, ServerConnection &connection) { return ingress.handle(std::move(request), connection); },
@@ -198,14 +199,14 @@
     Result<void> listen();
     void startActors();
     FleetControlOptions controlOptions();
-    ContactMaintainer::Options contactKeeperOptions();
+    ContactMaintainer::Options contactMaintainerOptions();
     HeadWatcher::Options headWatcherOptions();
     bool joinThrough(const Endpoint &contact);
     asio::awaitable<void> pull(Endpoint peer);
     void waitForCalls();
 
     template <typename Message>
-    void tell(Message message)
+    void sendToControl(Message message)
     {
         caf::anon_send(control, std::move(message));
     }
@@ -308,12 +309,12 @@
         .repository = backgroundRepository,
         .state = state,
         .log = log,
-        .revisionFound = [this](auto revision) { tell(RevisionReceived{std::move(revision)}); },
-        .storeAnswered = [this](Revision revision) { tell(StoreAnswered{revision}); },
-        .storeFailed = [this] { tell(StoreFailed{}); }};
+        .revisionFound = [this](auto revision) { sendToControl(RevisionReceived{std::move(revision)}); },
+        .storeAnswered = [this](Revision revision) { sendToControl(StoreAnswered{revision}); },
+        .storeFailed = [this] { sendToControl(StoreFailed{}); }};
 }
 
-ContactMaintainer::Options Node::Private::contactKeeperOptions()
+ContactMaintainer::Options Node::Private::contactMaintainerOptions()
 {
     return {.store = budgetedStore,
         .repository = repository,
@@ -344,7 +345,7 @@
         log(LogLevel::Warning, "members-refused", {{"from", toString(contact)}, {"reason", members.error().message}});
         return false;
     }
-    tell(MembersReceived{std::move(*members)});
+    sendToControl(MembersReceived{std::move(*members)});
     return true;
 }
 
@@ -352,11 +353,11 @@
 {
     auto revision = co_await exchange.pull(peer);
     if (revision) {
-        tell(RevisionReceived{std::move(*revision)});
+        sendToControl(RevisionReceived{std::move(*revision)});
     } else {
         log(LogLevel::Warning, "pull-failed", {{"peer", toString(peer)}, {"reason", revision.error().message}});
     }
-    tell(PullEnded{peer});
+    sendToControl(PullEnded{peer});
 }
 
 void Node::Private::startActors()
@@ -364,7 +365,7 @@
     system = std::make_unique<caf::actor_system>(systemConfig);
     control = system->spawn(controlActor, controlOptions());
     system->spawn<caf::detached>([this](caf::blocking_actor *) { headWatcher.run(); });
-    system->spawn<caf::detached>([this](caf::blocking_actor *) { ContactMaintainer(contactKeeperOptions()).run(); });
+    system->spawn<caf::detached>([this](caf::blocking_actor *) { ContactMaintainer(contactMaintainerOptions()).run(); });
 }
 
 Node::Node(Options options)
@@ -408,7 +409,7 @@
 void Node::stop()
 {
     d->log(LogLevel::Info, "stopping", {});
-    d->tell(LeaveFleet{});
+    d->sendToControl(LeaveFleet{});
     std::this_thread::sleep_for(AnnounceTime);
     d->onDataThread([this] {
         d->sidecar.drain();
--- a/src/daemon/operatormethods.cpp
+++ b/src/daemon/operatormethods.cpp
@@ -182,8 +182,8 @@
 Result<json> OperatorMethods::Private::status()
 {
     json nodes = json::array();
-    std::size_t asked = 0;
-    std::size_t answered = 0;
+    std::size_t queried = 0;
+    std::size_t responded = 0;
     for (const auto &[member, body] : queryFleet(options.state->members(), "/status", StatusTimeout)) {
         json node = {
             {"node", member.name.value()}, {"data_centre", member.dataCentre.value()}, {"service", member.service.value()}, {"state", toString(member.state)}};
@@ -195,11 +195,11 @@
             node["revision"] = status["revision"];
         }
         node["answered"] = readable;
-        asked += member.state != MemberState::Gone ? 1 : 0;
-        answered += readable ? 1 : 0;
+        queried += member.state != MemberState::Gone ? 1 : 0;
+        responded += readable ? 1 : 0;
         nodes.push_back(std::move(node));
     }
-    return json{{"revision", options.state->revisions.revision().value()}, {"asked", asked}, {"answered", answered}, {"nodes", nodes}};
+    return json{{"revision", options.state->revisions.revision().value()}, {"asked", queried}, {"answered", responded}, {"nodes", nodes}};
 }
 
 Result<json> OperatorMethods::Private::revision()
--- a/src/daemon/platformnode.cpp
+++ b/src/daemon/platformnode.cpp
@@ -22,9 +22,9 @@
 // Time between two checks for idle connections, which are closed to free their memory.
 constexpr Milliseconds TrimInterval{1000};
 
-const char *eventName(CallResult end)
+const char *eventName(CallResult result)
 {
-    switch (end) {
+    switch (result) {
     case CallResult::Answered:
         return "call-answered";
     case CallResult::TargetFailed:
@@ -112,8 +112,8 @@
     }
 }
 
-// The sidecar first: from then on it admits no call to the target that the rules
-// forbid.
+// Sets the rules at the sidecar first, so that it admits no call to the target that they
+// forbid when the fleet's view is published.
 void PlatformNode::Private::applyVersionRules()
 {
     sidecar.setVersionRule(rollouts.localRule());
@@ -139,13 +139,13 @@
 
 void PlatformNode::Private::datagramReceived(const Endpoint &from, const std::string &bytes)
 {
-    const auto refused = [&](const Error &error) { log(LogLevel::Warning, "datagram-refused", {{"from", toString(from)}, {"reason", error.message}}); };
+    const auto logRejection = [&](const Error &error) { log(LogLevel::Warning, "datagram-refused", {{"from", toString(from)}, {"reason", error.message}}); };
     if (isLoadReport(bytes)) {
         const auto report = decodeLoadReport(bytes);
-        report ? loads.receive(from, *report, Clock::now()) : refused(report.error());
+        report ? loads.receive(from, *report, Clock::now()) : logRejection(report.error());
     } else if (isRolloutReport(bytes)) {
         const auto report = decodeRolloutReport(bytes);
-        report ? rollouts.reportReceived(from, *report) : refused(report.error());
+        report ? rollouts.reportReceived(from, *report) : logRejection(report.error());
     } else {
         fleet.datagramReceived(from, bytes);
     }
@@ -290,7 +290,7 @@
     sidecarServer.closeAfterResponses();
     co_await sleepFor(context, IngressDrainDelay - SidecarDrainDelay);
     // Callers that have not noticed the stop would keep the node busy, and their last
-    // calls would be cut off at the end of the stop timeout.
+    // calls would be interrupted at the end of the stop timeout.
     ingressServer.drain();
     ingressServer.closeIdle();
     const auto until = begin + settings.stopTimeout - StopMargin;
--- a/src/daemon/platformnodewiring.cpp
+++ b/src/daemon/platformnodewiring.cpp
@@ -24,7 +24,7 @@
 // that sends one holds it in memory.
 constexpr std::uint32_t MaxHeaderBytes = 64 * 1024;
 
-// Room for the header fields that nodes add to a call, each of them short; names of
+// Space for the header fields that nodes add to a call, each of them short; names of
 // routes and services have up to 100 characters.
 constexpr std::uint32_t ForwardedFieldBytes = 2048;
 
@@ -42,9 +42,9 @@
 // Datagrams between nodes carry up to eight member records.
 constexpr std::size_t MaxDatagramBytes = 8192;
 
-// Time that a watcher gives its own watch of the store before it pulls a newer revision
-// from a member: more than the watch's pause after a change, and together with the pull
-// within the two seconds that a change may take.
+// Time that a watcher waits for its watch of the store to return a newer revision before
+// it pulls that from a member: more than the watch's pause after a change, and together
+// with the pull within the two seconds that a change may take.
 constexpr Milliseconds WatchGracePeriod{800};
 
 // Members of each data centre that watch the store: enough that some survive a mass
@@ -62,18 +62,18 @@
 // takes to reach every node.
 constexpr std::size_t DeltaBaseCount = 3;
 
-// Time between two probes of gone members: a fleet of a dozen looks about once a second
-// for members that came back, as after a partition while the store is unavailable.
+// Time between two probes of gone members: a fleet of a dozen nodes checks about once a
+// second for members that came back, as after a partition while the store is unavailable.
 constexpr Milliseconds ReconnectInterval{1000};
 
 constexpr Milliseconds PullTimeout{1500};
 
-// A target counts as lost after four missed heartbeats in a row and a margin. A target
-// that is merely delayed for seconds must not count as lost.
+// A target counts as not ready after four missed heartbeats in a row and a margin. A
+// target that is merely delayed for seconds must stay ready.
 constexpr int MissedHeartbeats = 4;
 constexpr Milliseconds HeartbeatMargin{2000};
 
-// Share of the fleet's retry budget that its nodes use, and the least slack of one node.
+// Share of the fleet's retry budget that its nodes use, and the minimum slack of one node.
 // The nodes do not coordinate every call, so each of them stays below its part.
 constexpr double RetryBudgetShare = 0.65;
 constexpr double MinRetrySlack = 1.5;
@@ -99,7 +99,7 @@
     return record;
 }
 
-// The target's own concurrency limit says how many calls it runs, and the latency
+// The target's concurrency limit says how many calls it runs, and the latency
 // objective says how long calls may wait.
 CallPolicy callPolicy()
 {
@@ -223,7 +223,7 @@
         .runningCall = [this](std::string_view id) { return sidecar.running(id); },
         .nestedCallMade = [this](const RouteName &route, const ServiceName &service) { sidecar.nestedCallMade(route, service); },
         .callEnded
-        = [this](const RouteDefinition &route, CallResult end, std::chrono::microseconds latency) { metrics.record(route, end, latency, Clock::now()); },
+        = [this](const RouteDefinition &route, CallResult result, std::chrono::microseconds latency) { metrics.record(route, result, latency, Clock::now()); },
         .callReported = [this](const CallReport &call) { logCall(call); }};
 }
 
@@ -316,7 +316,7 @@
         .poolLoadReceived = [this](const PoolReport &pool, TimePoint observed) { ingress.poolLoadReceived(pool, observed); }};
 }
 
-// Other nodes forward calls with header fields of their own beside the caller's, and may
+// Other nodes forward calls with further header fields beside the caller's, and may
 // keep their connections open as long as they like.
 void PlatformNode::Private::applyCallerLimits(const CallerLimits &limits)
 {
--- a/src/daemon/revisionexchange.cpp
+++ b/src/daemon/revisionexchange.cpp
@@ -44,8 +44,8 @@
 
 asio::awaitable<Result<std::shared_ptr<const ConfigRevision>>> RevisionExchange::pull(Endpoint peer)
 {
-    const auto held = m_options.state->revisions.current();
-    HttpRequest request(http::verb::get, "/config?base=" + (held ? held->digest.value() : std::string("none")), 11);
+    const auto current = m_options.state->revisions.current();
+    HttpRequest request(http::verb::get, "/config?base=" + (current ? current->digest.value() : std::string("none")), 11);
     request.set(http::field::host, toString(peer));
     auto response = co_await m_options.client.exchange(peer, std::move(request), Clock::now() + m_options.timeLimit);
     if (!response) {
